--- a/crates/beamwall-engine-model/src/estimates.rs
+++ b/crates/beamwall-engine-model/src/estimates.rs
@@ -1,21 +1,23 @@
 //! What the back ends of a service are expected to do.
 
 use crate::regression::Fit;
-use crate::statistics::{FirstEvent, Reading, ServiceStatistics, is_enough_for_plan, is_trusted, reading_ms};
+use crate::statistics::{
+    FirstEventInputs, PrefillWork, ServiceStatistics, is_enough_to_estimate, is_enough_to_size, prefill_ms,
+};
 use crate::workload::Workload;
 
 /// Waits of 95 in 100 requests, in mean waits, where the time between requests is random.
-const TAIL_WAITS: f64 = 3.0;
+const P95_WAIT_FACTOR: f64 = 3.0;
 /// Milliseconds in a second.
-const SECOND_MS: f64 = 1_000.0;
+const MS_PER_SECOND: f64 = 1_000.0;
 /// Rounds after which the number of requests that run no longer moves.
-const SETTLING_ROUNDS: usize = 20;
+const FIXED_POINT_ITERATIONS: usize = 20;
 
 /// What one back end does under a workload.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Occupancy {
     /// Part of its time for which it reads prompts, 0 to 1 and beyond.
-    pub reading_share: f64,
+    pub prefill_share: f64,
     /// Requests that run at once, in the mean.
     pub running: f64,
     /// Time to the first event of 95 in 100 requests, in milliseconds; without end where it can't keep up.
@@ -36,19 +38,23 @@
 
 impl ServiceEstimates {
     /// Fits the sums; `before` is what they said last.
-    pub(crate) fn new(statistics: &ServiceStatistics, before: &Self) -> Self {
+    pub(crate) fn new(statistics: &ServiceStatistics, previous: &Self) -> Self {
         let first_event = statistics.first_event;
         let event_gap = statistics.event_gap;
         let plain_call = statistics.plain_call;
         let stream = statistics.stream;
         Self {
             first_event: first_event
-                .fit(start(before.first_event))
-                .filter(|_| is_trusted(first_event.samples())),
-            event_gap: event_gap.fit(start(before.event_gap)).filter(|_| is_trusted(event_gap.samples())),
-            plain_call: plain_call.fit(start(before.plain_call)).filter(|_| is_trusted(plain_call.samples())),
-            stream_ms: stream.fit([before.stream_ms.unwrap_or(0.0)]).map(|fit| fit.coefficients[0]),
-            is_known: is_enough_for_plan(first_event.samples().min(event_gap.samples())),
+                .fit(initial_coefficients(previous.first_event))
+                .filter(|_| is_enough_to_estimate(first_event.samples())),
+            event_gap: event_gap
+                .fit(initial_coefficients(previous.event_gap))
+                .filter(|_| is_enough_to_estimate(event_gap.samples())),
+            plain_call: plain_call
+                .fit(initial_coefficients(previous.plain_call))
+                .filter(|_| is_enough_to_estimate(plain_call.samples())),
+            stream_ms: stream.fit([previous.stream_ms.unwrap_or(0.0)]).map(|fit| fit.coefficients[0]),
+            is_known: is_enough_to_size(first_event.samples().min(event_gap.samples())),
         }
     }
 
@@ -58,13 +64,13 @@
     }
 
     /// Expected time to a first event in milliseconds.
-    pub fn first_event_ms(&self, of: FirstEvent) -> Option<f64> {
-        self.first_event.map(|fit| fit.predict(of.features()))
+    pub fn first_event_ms(&self, inputs: FirstEventInputs) -> Option<f64> {
+        self.first_event.map(|fit| fit.predict(inputs.features()))
     }
 
     /// How far the expected time to a first event may be from the mean of such requests, in milliseconds.
-    pub fn first_event_error_ms(&self, of: FirstEvent) -> Option<f64> {
-        self.first_event.map(|fit| fit.standard_error(of.features()))
+    pub fn first_event_error_ms(&self, inputs: FirstEventInputs) -> Option<f64> {
+        self.first_event.map(|fit| fit.standard_error(inputs.features()))
     }
 
     /// Usual difference of times to the first event from what is expected, as a part of that.
@@ -73,14 +79,16 @@
     }
 
     /// Time to read the rest of a prompt in milliseconds.
-    pub fn reading_ms(&self, reading: Reading) -> Option<f64> {
-        self.first_event.map(|fit| reading_ms(&fit.coefficients, reading))
+    pub fn prefill_ms(&self, prefill: PrefillWork) -> Option<f64> {
+        self.first_event.map(|fit| prefill_ms(&fit.coefficients, prefill))
     }
 
     /// Tokens of a short prompt that are read in a millisecond; `None` too where reading takes no time.
     pub fn tokens_per_ms(&self) -> Option<f64> {
-        const SHORT: Reading = Reading { tokens: 1_000, pairs: 0 };
-        self.reading_ms(SHORT).filter(|took_ms| *took_ms > 0.0).map(|took_ms| SHORT.tokens as f64 / took_ms)
+        const SHORT_PROMPT: PrefillWork = PrefillWork { tokens: 1_000, pairs: 0 };
+        self.prefill_ms(SHORT_PROMPT)
+            .filter(|took_ms| *took_ms > 0.0)
+            .map(|took_ms| SHORT_PROMPT.tokens as f64 / took_ms)
     }
 
     /// Expected time between two events in milliseconds while `running` requests run.
@@ -104,36 +112,36 @@
     }
 
     /// What one back end does under its part of a workload; `None` while not enough is known.
-    pub fn occupancy(&self, work: Workload) -> Option<Occupancy> {
+    pub fn occupancy(&self, workload: Workload) -> Option<Occupancy> {
         if !self.is_known {
             return None;
         }
         let (first_event, event_gap) = (self.first_event?, self.event_gap?);
-        let [base_ms, .., running_ms] = first_event.coefficients;
-        let reading = Reading { tokens: work.tokens as u64, pairs: work.pairs as u64 };
-        let reading_share = reading_ms(&first_event.coefficients, reading) / SECOND_MS;
-        let mean_reading_ms =
-            if work.requests > 0.0 { reading_share * SECOND_MS / work.requests } else { 0.0 };
-        let wait_ms = if reading_share < 1.0 {
-            mean_reading_ms * reading_share / (1.0 - reading_share) * TAIL_WAITS
+        let [base_ms, .., ms_per_running] = first_event.coefficients;
+        let prefill = PrefillWork { tokens: workload.tokens as u64, pairs: workload.pairs as u64 };
+        let prefill_share = prefill_ms(&first_event.coefficients, prefill) / MS_PER_SECOND;
+        let mean_prefill_ms =
+            if workload.requests > 0.0 { prefill_share * MS_PER_SECOND / workload.requests } else { 0.0 };
+        let wait_ms = if prefill_share < 1.0 {
+            mean_prefill_ms * prefill_share / (1.0 - prefill_share) * P95_WAIT_FACTOR
         } else {
             f64::INFINITY
         };
         let mut running = 0.0;
-        for _ in 0..SETTLING_ROUNDS {
-            let streaming_ms = work.events * event_gap.predict([1.0, running]);
-            running = (streaming_ms + work.requests * (base_ms + mean_reading_ms)) / SECOND_MS;
+        for _ in 0..FIXED_POINT_ITERATIONS {
+            let streaming_ms = workload.events * event_gap.predict([1.0, running]);
+            running = (streaming_ms + workload.requests * (base_ms + mean_prefill_ms)) / MS_PER_SECOND;
         }
-        let beside_ms = running_ms * running;
+        let concurrency_ms = ms_per_running * running;
         Some(Occupancy {
-            reading_share,
+            prefill_share,
             running,
-            first_event_ms: base_ms + mean_reading_ms + beside_ms + wait_ms,
+            first_event_ms: base_ms + mean_prefill_ms + concurrency_ms + wait_ms,
             event_gap_ms: event_gap.predict([1.0, running]),
         })
     }
 }
 
-fn start<const N: usize>(before: Option<Fit<N>>) -> [f64; N] {
-    before.map_or([0.0; N], |fit| fit.coefficients)
+fn initial_coefficients<const N: usize>(previous: Option<Fit<N>>) -> [f64; N] {
+    previous.map_or([0.0; N], |fit| fit.coefficients)
 }
--- a/crates/beamwall-engine-model/src/regression.rs
+++ b/crates/beamwall-engine-model/src/regression.rs
@@ -4,14 +4,14 @@
 
 /// Samples after which an older one counts 1/e: long enough for a steady fit, short enough to follow an engine that
 /// changes its speed within some hundred requests.
-const REMEMBERED_SAMPLES: f64 = 400.0;
+const DECAY_SAMPLES: f64 = 400.0;
 /// Weight of the assumption that a coefficient is 0, beside samples whose features are about 1: it decides only
 /// where no sample says anything.
-const RIDGE: f64 = 1e-5;
+const RELATIVE_RIDGE: f64 = 1e-5;
 /// Most rounds of coordinate descent: lengths of prompts and their squares are so alike that some hundred are usual.
-const DESCENT_ROUNDS: usize = 2_000;
+const MAX_DESCENT_ITERATIONS: usize = 2_000;
 /// Change in a round, as a part of the largest coefficient, below which the descent has ended.
-const DESCENT_ENDS: f64 = 1e-5;
+const DESCENT_TOLERANCE: f64 = 1e-5;
 
 /// Sums over samples of `N` features and one outcome, from which coefficients are fitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -38,16 +38,16 @@
         self.samples
     }
 
-    /// Adds a sample. `relevance`, 0 to 1, tells how much it says: one that waited for something else displaces
+    /// Adds a sample. `robust_weight`, 0 to 1, tells how much it says: one that waited for something else displaces
     /// as little of what is remembered as it adds. `variance` is what is expected of it.
-    pub fn add(&mut self, features: [f64; N], outcome: f64, variance: f64, relevance: f64) {
-        self.scale(1.0 - relevance / REMEMBERED_SAMPLES);
-        let weight = relevance / variance;
+    pub fn add(&mut self, features: [f64; N], outcome: f64, variance: f64, robust_weight: f64) {
+        self.scale(1.0 - robust_weight / DECAY_SAMPLES);
+        let weight = robust_weight / variance;
         let features = SVector::from(features);
         self.products += features * features.transpose() * weight;
         self.outcomes += features * (outcome * weight);
         self.squares += outcome * outcome * weight;
-        self.samples += relevance;
+        self.samples += robust_weight;
     }
 
     /// The same sums as if of at most so many samples.
@@ -79,16 +79,17 @@
         if self.samples < 1.0 {
             return None;
         }
-        let ridge = SMatrix::<f64, N, N>::identity() * (RIDGE * self.products[(0, 0)].max(f64::MIN_POSITIVE));
-        let matrix = self.products + ridge;
-        let coefficients = descend(&matrix, &self.outcomes, SVector::from(start));
+        let ridge = SMatrix::<f64, N, N>::identity()
+            * (RELATIVE_RIDGE * self.products[(0, 0)].max(f64::MIN_POSITIVE));
+        let normal_matrix = self.products + ridge;
+        let coefficients = coordinate_descent(&normal_matrix, &self.outcomes, SVector::from(start));
         let explained = 2.0 * coefficients.dot(&self.outcomes);
-        let error =
+        let squared_error =
             self.squares - explained + (coefficients.transpose() * self.products * coefficients)[(0, 0)];
         Some(Fit {
             coefficients: coefficients.into(),
-            variance: (error / self.samples).max(0.0),
-            covariance: matrix.try_inverse().unwrap_or_else(SMatrix::zeros),
+            variance: (squared_error / self.samples).max(0.0),
+            covariance: normal_matrix.try_inverse().unwrap_or_else(SMatrix::zeros),
         })
     }
 
@@ -100,50 +101,51 @@
     }
 
     /// Numbers in the list of [`Self::to_numbers`].
-    pub const fn numbers() -> usize {
+    pub const fn encoded_len() -> usize {
         N * (N + 1) / 2 + N + 2
     }
 
     /// The sums from such a list; `None` when it has another length or holds what is no number.
     pub fn from_numbers(numbers: &[f64]) -> Option<Self> {
-        if numbers.len() != Self::numbers() || numbers.iter().any(|number| !number.is_finite()) {
+        if numbers.len() != Self::encoded_len() || numbers.iter().any(|number| !number.is_finite()) {
             return None;
         }
         let mut rest = numbers.iter().copied();
-        let mut read = Self::default();
+        let mut sums = Self::default();
         for row in 0..N {
             for column in row..N {
                 let product = rest.next()?;
-                read.products[(row, column)] = product;
-                read.products[(column, row)] = product;
+                sums.products[(row, column)] = product;
+                sums.products[(column, row)] = product;
             }
         }
         for position in 0..N {
-            read.outcomes[position] = rest.next()?;
+            sums.outcomes[position] = rest.next()?;
         }
-        read.squares = rest.next()?;
-        read.samples = rest.next()?;
-        Some(read)
+        sums.squares = rest.next()?;
+        sums.samples = rest.next()?;
+        Some(sums)
     }
 }
 
 /// Coordinate descent under the bound that no coefficient is negative: more work never takes less time.
-fn descend<const N: usize>(
-    matrix: &SMatrix<f64, N, N>,
+fn coordinate_descent<const N: usize>(
+    normal_matrix: &SMatrix<f64, N, N>,
     outcomes: &SVector<f64, N>,
     start: SVector<f64, N>,
 ) -> SVector<f64, N> {
     let mut coefficients = start;
-    for _ in 0..DESCENT_ROUNDS {
+    for _ in 0..MAX_DESCENT_ITERATIONS {
         let before = coefficients;
         for position in 0..N {
-            let own = matrix[(position, position)];
-            if own > 0.0 {
-                let others = (matrix.row(position) * coefficients)[(0, 0)] - own * coefficients[position];
-                coefficients[position] = ((outcomes[position] - others) / own).max(0.0);
+            let diagonal = normal_matrix[(position, position)];
+            if diagonal > 0.0 {
+                let off_diagonal =
+                    (normal_matrix.row(position) * coefficients)[(0, 0)] - diagonal * coefficients[position];
+                coefficients[position] = ((outcomes[position] - off_diagonal) / diagonal).max(0.0);
             }
         }
-        if (coefficients - before).amax() <= DESCENT_ENDS * coefficients.amax() {
+        if (coefficients - before).amax() <= DESCENT_TOLERANCE * coefficients.amax() {
             break;
         }
     }
@@ -169,8 +171,8 @@
     /// Standard error of the expected outcome: how far it may be from the mean of such requests.
     pub fn standard_error(&self, features: [f64; N]) -> f64 {
         let features = SVector::from(features);
-        let spread = (features.transpose() * self.covariance * features)[(0, 0)];
-        (spread.max(0.0) * self.variance).sqrt()
+        let leverage = (features.transpose() * self.covariance * features)[(0, 0)];
+        (leverage.max(0.0) * self.variance).sqrt()
     }
 
     /// Square root of the mean weighted square of the differences between samples and the fit.
--- a/crates/beamwall-engine-model/src/workload.rs
+++ b/crates/beamwall-engine-model/src/workload.rs
@@ -17,7 +17,7 @@
 
 impl Workload {
     /// The mean of this with `other`, which counts by `weight`, 0 to 1.
-    pub fn mixed_with(self, other: Self, weight: f64) -> Self {
+    pub fn weighted_mean(self, other: Self, weight: f64) -> Self {
         self * (1.0 - weight) + other * weight
     }
 
--- a/crates/beamwall-engine-model/tests/learning.rs
+++ b/crates/beamwall-engine-model/tests/learning.rs
@@ -3,106 +3,125 @@
 mod support;
 
 use beamwall_engine_model::{
-    EngineModels, FirstEvent, Reading, ServiceEstimates, ServiceStatistics, Workload,
+    EngineModels, FirstEventInputs, PrefillWork, ServiceEstimates, ServiceStatistics, Workload,
 };
 use beamwall_model::{BackendId, ServiceName};
-use support::{Requests, Truth};
+use support::{RequestGenerator, SimulatedEngine};
 use tokio::time::Instant;
 
 /// Engines a fifth to five times as fast as today's, with other slots.
 const SPEEDS: [(f64, u32); 5] = [(0.2, 8), (0.5, 128), (1.0, 24), (2.5, 48), (5.0, 16)];
-/// Requests after which the model must be right.
+/// RequestGenerator after which the model must be right.
 const REQUESTS: usize = 200;
-/// How far a learnt figure may be off, as a part of the truth.
-const OFF: f64 = 0.15;
+/// How far a learnt figure may be off, as a part of the engine.
+const TOLERANCE: f64 = 0.15;
 
 /// Observes random requests as a node does, refitting now and then.
-fn observe(statistics: &mut ServiceStatistics, truth: &Truth, requests: &mut Requests, count: usize) {
+fn observe(
+    statistics: &mut ServiceStatistics,
+    simulated: &SimulatedEngine,
+    requests: &mut RequestGenerator,
+    count: usize,
+) {
     let mut known = statistics.estimates();
     for number in 0..count {
         if number % 10 == 0 {
             known = statistics.estimates();
         }
         let request = requests.first_event();
-        let took_ms = requests.measured(truth.first_event_ms(request));
-        statistics.note_first_event(request, took_ms, &known);
+        let took_ms = requests.with_noise(simulated.first_event_ms(request));
+        statistics.record_first_event(request, took_ms, &known);
         let running = requests.running();
-        let gap_ms = requests.measured(truth.event_gap_ms(running));
-        statistics.note_event_gap(running, gap_ms, &known);
+        let gap_ms = requests.with_noise(simulated.event_gap_ms(running));
+        statistics.record_event_gap(running, gap_ms, &known);
     }
 }
 
-fn assert_close(what: &str, learnt: Option<f64>, truth: f64, of: &Truth) {
-    let learnt = learnt.unwrap_or_else(|| panic!("{what} is not known of {of:?}"));
-    assert!((learnt / truth - 1.0).abs() < OFF, "{what}: learnt {learnt:.2}, truth {truth:.2} of {of:?}");
+fn assert_close(what: &str, estimate: Option<f64>, expected: f64, simulated: &SimulatedEngine) {
+    let estimate = estimate.unwrap_or_else(|| panic!("{what} is not known of {simulated:?}"));
+    assert!(
+        (estimate / expected - 1.0).abs() < TOLERANCE,
+        "{what}: estimate {estimate:.2}, expected {expected:.2} of {simulated:?}"
+    );
 }
 
-fn assert_learnt(estimates: &ServiceEstimates, truth: &Truth) {
+fn assert_estimates_match(estimates: &ServiceEstimates, simulated: &SimulatedEngine) {
     for tokens in [500, 2_000, 8_000, 20_000] {
-        let reading = Reading::of_rest(0, tokens);
-        let request = FirstEvent { reading, tokens_ahead: 0, running: truth.slots / 2 };
-        let expected = truth.first_event_ms(request);
-        assert_close("time to the first event", estimates.first_event_ms(request), expected, truth);
+        let prefill = PrefillWork::of_uncached(0, tokens);
+        let request = FirstEventInputs { prefill, tokens_ahead: 0, running: simulated.slots / 2 };
+        let expected = simulated.first_event_ms(request);
+        assert_close("time to the first event", estimates.first_event_ms(request), expected, simulated);
     }
-    let waits = FirstEvent { reading: Reading::of_rest(0, 1_000), tokens_ahead: 8_000, running: 1 };
-    assert_close("time behind others", estimates.first_event_ms(waits), truth.first_event_ms(waits), truth);
-    for running in [1, truth.slots / 2, truth.slots] {
-        let expected = truth.event_gap_ms(running);
-        assert_close("time between events", estimates.event_gap_ms(running), expected, truth);
+    let waits =
+        FirstEventInputs { prefill: PrefillWork::of_uncached(0, 1_000), tokens_ahead: 8_000, running: 1 };
+    assert_close(
+        "time behind others",
+        estimates.first_event_ms(waits),
+        simulated.first_event_ms(waits),
+        simulated,
+    );
+    for running in [1, simulated.slots / 2, simulated.slots] {
+        let expected = simulated.event_gap_ms(running);
+        assert_close("time between events", estimates.event_gap_ms(running), expected, simulated);
     }
-    let reading = Reading::of_rest(0, 10_000);
-    assert_close("reading", estimates.reading_ms(reading), truth.reading_ms(reading), truth);
+    let prefill = PrefillWork::of_uncached(0, 10_000);
+    assert_close("prefill", estimates.prefill_ms(prefill), simulated.prefill_ms(prefill), simulated);
 }
 
 #[test]
-fn two_hundred_requests_tell_the_speed_of_any_engine() {
+fn two_hundred_requests_suffice_to_estimate_any_engine_speed() {
     for (seed, (factor, slots)) in (1..).zip(SPEEDS) {
-        let truth = Truth::of_speed(factor, slots);
+        let simulated = SimulatedEngine::of_speed(factor, slots);
         let mut statistics = ServiceStatistics::default();
-        observe(&mut statistics, &truth, &mut Requests::new(seed, slots), REQUESTS);
-        assert_learnt(&statistics.estimates(), &truth);
+        observe(&mut statistics, &simulated, &mut RequestGenerator::new(seed, slots), REQUESTS);
+        assert_estimates_match(&statistics.estimates(), &simulated);
     }
 }
 
 #[test]
-fn nodes_that_saw_a_part_each_know_it_together() {
-    let truth = Truth::of_speed(1.0, 24);
+fn merged_statistics_of_several_nodes_give_one_model() {
+    let simulated = SimulatedEngine::of_speed(1.0, 24);
     let service = ServiceName::new("pool");
-    let newcomer: EngineModels<u32> = EngineModels::default();
+    let new_node: EngineModels<u32> = EngineModels::default();
     for node in 0..4 {
         let mut statistics = ServiceStatistics::default();
-        observe(&mut statistics, &truth, &mut Requests::new(u64::from(node) + 40, 24), REQUESTS / 4);
-        let told = ServiceStatistics::from_numbers(&statistics.to_numbers()).expect("the sums");
-        assert_eq!(told, statistics);
-        newcomer.set_peer(&node, [(service.clone(), told)].into());
+        observe(
+            &mut statistics,
+            &simulated,
+            &mut RequestGenerator::new(u64::from(node) + 40, 24),
+            REQUESTS / 4,
+        );
+        let decoded = ServiceStatistics::from_numbers(&statistics.to_numbers()).expect("the sums");
+        assert_eq!(decoded, statistics);
+        new_node.set_peer_statistics(&node, [(service.clone(), decoded)].into());
     }
-    assert!(!newcomer.estimates(&service).is_known());
-    assert_eq!(newcomer.refresh(Instant::now()), std::slice::from_ref(&service));
-    assert_learnt(&newcomer.estimates(&service), &truth);
-    assert!(newcomer.refresh(Instant::now()).is_empty(), "it is told once");
+    assert!(!new_node.estimates(&service).is_known());
+    assert_eq!(new_node.refresh(Instant::now()), std::slice::from_ref(&service));
+    assert_estimates_match(&new_node.estimates(&service), &simulated);
+    assert!(new_node.refresh(Instant::now()).is_empty(), "it is decoded once");
 }
 
 #[test]
-fn a_change_of_speed_is_followed() {
+fn estimates_follow_a_change_of_speed() {
     let mut statistics = ServiceStatistics::default();
-    observe(&mut statistics, &Truth::of_speed(1.0, 24), &mut Requests::new(5, 24), 1_000);
-    let slower = Truth::of_speed(0.5, 24);
-    observe(&mut statistics, &slower, &mut Requests::new(6, 24), 2_000);
-    assert_learnt(&statistics.estimates(), &slower);
+    observe(&mut statistics, &SimulatedEngine::of_speed(1.0, 24), &mut RequestGenerator::new(5, 24), 1_000);
+    let slower = SimulatedEngine::of_speed(0.5, 24);
+    observe(&mut statistics, &slower, &mut RequestGenerator::new(6, 24), 2_000);
+    assert_estimates_match(&statistics.estimates(), &slower);
 }
 
 #[test]
-fn nothing_is_expected_before_enough_was_seen() {
+fn no_estimates_before_enough_samples() {
     let mut statistics = ServiceStatistics::default();
-    observe(&mut statistics, &Truth::of_speed(1.0, 24), &mut Requests::new(7, 24), 5);
+    observe(&mut statistics, &SimulatedEngine::of_speed(1.0, 24), &mut RequestGenerator::new(7, 24), 5);
     let estimates = statistics.estimates();
     assert!(!estimates.is_known());
-    assert_eq!(estimates.first_event_ms(FirstEvent::default()), None);
+    assert_eq!(estimates.first_event_ms(FirstEventInputs::default()), None);
     assert_eq!(estimates.occupancy(Workload::default()), None);
 }
 
 #[test]
-fn numbers_that_are_no_sums_are_refused() {
+fn invalid_encoded_sums_are_rejected() {
     let numbers = ServiceStatistics::default().to_numbers();
     assert!(ServiceStatistics::from_numbers(&numbers[1..]).is_none());
     let broken = vec![f64::NAN; numbers.len()];
@@ -110,11 +129,11 @@
 }
 
 #[test]
-fn one_slow_engine_among_ten_is_found_and_forgiven() {
-    let truth = Truth::of_speed(1.0, 24);
+fn one_slow_engine_among_ten_is_detected_and_decays() {
+    let simulated = SimulatedEngine::of_speed(1.0, 24);
     let service = ServiceName::new("pool");
     let models: EngineModels<u32> = EngineModels::default();
-    let mut requests = Requests::new(9, 24);
+    let mut requests = RequestGenerator::new(9, 24);
     let engines: Vec<BackendId> = (0..10).map(|number| BackendId::new(format!("i-{number}"))).collect();
     let start = Instant::now();
     // Fifty requests a second: each engine gets five.
@@ -123,11 +142,11 @@
         let engine = &engines[number % engines.len()];
         let request = requests.first_event();
         let is_slow = number >= 300 && engine == &engines[3];
-        let truth_ms = truth.first_event_ms(request) * if is_slow { 5.0 } else { 1.0 };
-        models.note_first_event(&service, engine, request, requests.measured(truth_ms), at(number));
+        let exact_ms = simulated.first_event_ms(request) * if is_slow { 5.0 } else { 1.0 };
+        models.record_first_event(&service, engine, request, requests.with_noise(exact_ms), at(number));
         let running = requests.running();
-        let gap_ms = truth.event_gap_ms(running) * if is_slow { 5.0 } else { 1.0 };
-        models.note_event_gap(&service, engine, running, requests.measured(gap_ms), at(number));
+        let gap_ms = simulated.event_gap_ms(running) * if is_slow { 5.0 } else { 1.0 };
+        models.record_event_gap(&service, engine, running, requests.with_noise(gap_ms), at(number));
         if number % 10 == 0 {
             models.refresh(at(number));
         }
--- a/crates/beamwall-engine-model/tests/occupancy.rs
+++ b/crates/beamwall-engine-model/tests/occupancy.rs
@@ -4,24 +4,28 @@
 
 use beamwall_engine_model::{ServiceEstimates, ServiceStatistics, Workload};
 use beamwall_seeds::on_seeds;
-use support::{Requests, Truth};
+use support::{RequestGenerator, SimulatedEngine};
 
-fn learnt(truth: &Truth) -> ServiceEstimates {
-    let mut requests = Requests::new(3, truth.slots);
+fn learnt(simulated: &SimulatedEngine) -> ServiceEstimates {
+    let mut requests = RequestGenerator::new(3, simulated.slots);
     let mut statistics = ServiceStatistics::default();
     let unknown = ServiceEstimates::default();
     for _ in 0..300 {
         let request = requests.first_event();
-        statistics.note_first_event(request, requests.measured(truth.first_event_ms(request)), &unknown);
+        statistics.record_first_event(
+            request,
+            requests.with_noise(simulated.first_event_ms(request)),
+            &unknown,
+        );
         let running = requests.running();
-        statistics.note_event_gap(running, requests.measured(truth.event_gap_ms(running)), &unknown);
+        statistics.record_event_gap(running, requests.with_noise(simulated.event_gap_ms(running)), &unknown);
     }
     statistics.estimates()
 }
 
 #[test]
-fn more_work_never_takes_less_and_more_back_ends_never_take_more() {
-    let estimates = learnt(&Truth::of_speed(1.0, 24));
+fn occupancy_never_rises_with_more_back_ends() {
+    let estimates = learnt(&SimulatedEngine::of_speed(1.0, 24));
     on_seeds(2_000, |random| {
         let work = Workload {
             requests: f64::from(random.int_in_range(1..=500_u32)?),
@@ -32,7 +36,7 @@
         let back_ends = f64::from(random.int_in_range(1..=50_u32)?);
         let few = estimates.occupancy(work / back_ends).expect("known");
         let more = estimates.occupancy(work / (back_ends + 1.0)).expect("known");
-        assert!(more.reading_share <= few.reading_share);
+        assert!(more.prefill_share <= few.prefill_share);
         assert!(more.running <= few.running);
         assert!(more.event_gap_ms <= few.event_gap_ms);
         Ok(())
@@ -40,13 +44,13 @@
 }
 
 #[test]
-fn a_known_workload_is_worked_out() {
-    let truth = Truth::of_speed(1.0, 24);
-    let estimates = learnt(&truth);
+fn occupancy_of_a_known_workload() {
+    let simulated = SimulatedEngine::of_speed(1.0, 24);
+    let estimates = learnt(&simulated);
     // 5 requests of 6,000 tokens and 50 events a second: 100 ms of reading each and some 1.2 s of events.
     let work = Workload { requests: 5.0, tokens: 30_000.0, pairs: 0.0, events: 250.0 };
     let occupancy = estimates.occupancy(work).expect("known");
-    assert!((0.45..0.55).contains(&occupancy.reading_share), "{occupancy:?}");
+    assert!((0.45..0.55).contains(&occupancy.prefill_share), "{occupancy:?}");
     assert!((5.5..7.5).contains(&occupancy.running), "{occupancy:?}");
     assert!((21.0..24.0).contains(&occupancy.event_gap_ms), "{occupancy:?}");
     assert!(occupancy.first_event_ms > 200.0, "the tail waits behind others: {occupancy:?}");
--- a/crates/beamwall-engine-model/tests/slowness.rs
+++ b/crates/beamwall-engine-model/tests/slowness.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use beamwall_engine_model::{EngineModels, ToldSlowness};
+use beamwall_engine_model::{EngineModels, SlownessObservation};
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
 /// What was told had to stay above the threshold of telling, so most of it did not count at its receivers.
 #[test]
-fn what_a_peer_told_of_a_slow_back_end_counts_until_it_has_faded() {
+fn peer_observation_of_a_slow_back_end_counts_until_it_decays() {
     let models: EngineModels<u32> = EngineModels::default();
     let (slow, start) = (BackendId::from("slow"), Instant::now());
-    let told = ToldSlowness { logarithms: 2.0 * 4.0_f64.ln(), weight: 2.0 };
-    models.set_peer_slowness(&1, vec![(slow.clone(), told)], start);
+    let observation = SlownessObservation { logarithms: 2.0 * 4.0_f64.ln(), weight: 2.0 };
+    models.set_peer_slowness(&1, vec![(slow.clone(), observation)], start);
     models.refresh(start + Duration::from_millis(500));
     assert!(models.slowness(&slow) > 1.8, "{}", models.slowness(&slow));
     models.refresh(start + Duration::from_secs(20));
@@ -25,8 +25,8 @@
     let models: EngineModels<u32> = EngineModels::default();
     let (slow, now) = (BackendId::from("slow"), Instant::now());
     for peer in 0..6 {
-        let told = ToldSlowness { logarithms: 4.0_f64.ln(), weight: 1.0 };
-        models.set_peer_slowness(&peer, vec![(slow.clone(), told)], now);
+        let observation = SlownessObservation { logarithms: 4.0_f64.ln(), weight: 1.0 };
+        models.set_peer_slowness(&peer, vec![(slow.clone(), observation)], now);
     }
     models.refresh(now);
     assert!(models.slowness(&slow) > 2.5, "{}", models.slowness(&slow));
--- a/crates/beamwall-engine-model/tests/support/mod.rs
+++ b/crates/beamwall-engine-model/tests/support/mod.rs
@@ -1,12 +1,12 @@
 //! An engine whose speeds are known, with random requests.
 
-use beamwall_engine_model::{FirstEvent, Reading};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 /// What an engine truly does.
 #[derive(Debug, Clone, Copy)]
-pub struct Truth {
+pub struct SimulatedEngine {
     /// Milliseconds before anything is read.
     pub base_ms: f64,
     /// Prompt tokens that are read in a millisecond.
@@ -17,11 +17,11 @@
     pub gap_ms_each: f64,
     /// Milliseconds between two events where nothing else runs.
     pub gap_ms: f64,
-    /// Requests at once.
+    /// RequestGenerator at once.
     pub slots: u32,
 }
 
-impl Truth {
+impl SimulatedEngine {
     /// An engine of about today's speed, `factor` times as fast.
     pub fn of_speed(factor: f64, slots: u32) -> Self {
         Self {
@@ -34,13 +34,13 @@
         }
     }
 
-    pub fn reading_ms(&self, reading: Reading) -> f64 {
-        reading.tokens as f64 / self.tokens_per_ms + reading.pairs as f64 / 1e6 * self.pairs_ms_per_million
+    pub fn prefill_ms(&self, prefill: PrefillWork) -> f64 {
+        prefill.tokens as f64 / self.tokens_per_ms + prefill.pairs as f64 / 1e6 * self.pairs_ms_per_million
     }
 
-    pub fn first_event_ms(&self, of: FirstEvent) -> f64 {
-        let ahead = Reading { tokens: of.tokens_ahead, pairs: 0 };
-        self.base_ms + self.reading_ms(of.reading) + self.reading_ms(ahead)
+    pub fn first_event_ms(&self, event_inputs: FirstEventInputs) -> f64 {
+        let ahead = PrefillWork { tokens: event_inputs.tokens_ahead, pairs: 0 };
+        self.base_ms + self.prefill_ms(event_inputs.prefill) + self.prefill_ms(ahead)
     }
 
     pub fn event_gap_ms(&self, running: u32) -> f64 {
@@ -49,12 +49,12 @@
 }
 
 /// Random requests, the same for the same seed.
-pub struct Requests {
+pub struct RequestGenerator {
     random: StdRng,
     slots: u32,
 }
 
-impl Requests {
+impl RequestGenerator {
     pub fn new(seed: u64, slots: u32) -> Self {
         Self { random: StdRng::seed_from_u64(seed), slots }
     }
@@ -64,16 +64,20 @@
     }
 
     /// A request whose prompt has 200 to 20,000 tokens, most of them few; some wait behind others.
-    pub fn first_event(&mut self) -> FirstEvent {
+    pub fn first_event(&mut self) -> FirstEventInputs {
         let unread = (200.0 * 100f64.powf(self.random.random::<f64>())) as u64;
         let kept = if self.random.random_bool(0.5) { unread / 2 } else { 0 };
         let tokens_ahead = if self.random.random_bool(0.3) { self.random.random_range(0..10_000) } else { 0 };
-        FirstEvent { reading: Reading::of_rest(kept, unread), tokens_ahead, running: self.running() }
+        FirstEventInputs {
+            prefill: PrefillWork::of_uncached(kept, unread),
+            tokens_ahead,
+            running: self.running(),
+        }
     }
 
     /// A time as measured: up to a tenth off, and one in twenty several times as long.
-    pub fn measured(&mut self, truth_ms: f64) -> f64 {
-        let usual = truth_ms * self.random.random_range(0.9..1.1);
+    pub fn with_noise(&mut self, exact_ms: f64) -> f64 {
+        let usual = exact_ms * self.random.random_range(0.9..1.1);
         if self.random.random_bool(0.05) { usual * self.random.random_range(2.0..8.0) } else { usual }
     }
 }
