--- a/crates/beamwall-duties/src/checkpoint.rs
+++ b/crates/beamwall-duties/src/checkpoint.rs
@@ -10,7 +10,7 @@
 use beamwall_model::ServiceName;
 use serde::{Deserialize, Serialize};
 
-use crate::orders::KeptOrder;
+use crate::orders::SavedOrder;
 
 /// What the holder of the duties keeps.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -23,5 +23,5 @@
     /// How many back ends each service needed as of the last look.
     pub needs: BTreeMap<ServiceName, Needed>,
     /// What was ordered, and what could not be had.
-    pub orders: Vec<KeptOrder>,
+    pub orders: Vec<SavedOrder>,
 }
--- a/crates/beamwall-duties/src/lib.rs
+++ b/crates/beamwall-duties/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod usage_windows;
 
 pub use checkpoint::DutyCheckpoint;
-pub use orders::{KeptOrder, OrderBook};
+pub use orders::{OrderTracker, SavedOrder};
 pub use usage_windows::{UsageTiming, WindowClock, WindowProgress};
--- a/crates/beamwall-duties/src/orders.rs
+++ b/crates/beamwall-duties/src/orders.rs
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 /// Pause after an order that could not be carried out.
-const ORDER_PAUSE: Duration = Duration::from_secs(3);
+const RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// An order as kept for the next holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptOrder {
+pub struct SavedOrder {
     /// What it is about.
     pub key: OrderKey,
     /// How many were ordered last; `None` where no order was carried out.
@@ -27,83 +27,83 @@
 
 /// An order whose last try was not taken.
 #[derive(Debug, Clone, Copy)]
-struct RefusedOrder {
-    at: Instant,
+struct FailedOrder {
+    failed_at: Instant,
     /// Whether none could be had; otherwise no answer came.
     is_exhausted: bool,
 }
 
 /// The orders of one tenure.
 #[derive(Debug, Default)]
-pub struct OrderBook {
-    given: BTreeMap<OrderKey, GivenOrder>,
-    refused: BTreeMap<OrderKey, RefusedOrder>,
+pub struct OrderTracker {
+    placed: BTreeMap<OrderKey, GivenOrder>,
+    failed: BTreeMap<OrderKey, FailedOrder>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Goes on from what the last holder kept. Its orders count as given now, since it is not known when they were.
-    pub fn continuing(kept: Vec<KeptOrder>, now: Instant) -> Self {
-        let mut book = Self::default();
-        for KeptOrder { key, wanted, is_exhausted } in kept {
+    pub fn restore(saved: Vec<SavedOrder>, now: Instant) -> Self {
+        let mut tracker = Self::default();
+        for SavedOrder { key, wanted, is_exhausted } in saved {
             if is_exhausted {
-                book.refused.insert(key.clone(), RefusedOrder { at: now, is_exhausted });
+                tracker.failed.insert(key.clone(), FailedOrder { failed_at: now, is_exhausted });
             }
-            book.given.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
+            tracker.placed.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
         }
-        book
+        tracker
     }
 
     /// What the next holder goes on from.
-    pub fn to_keep(&self) -> Vec<KeptOrder> {
-        let exhausted = self.refused.iter().filter(|(_, refused)| refused.is_exhausted).map(|(key, _)| key);
-        let mut keys: Vec<&OrderKey> = self.given.keys().chain(exhausted).collect();
+    pub fn to_saved(&self) -> Vec<SavedOrder> {
+        let exhausted = self.failed.iter().filter(|(_, failure)| failure.is_exhausted).map(|(key, _)| key);
+        let mut keys: Vec<&OrderKey> = self.placed.keys().chain(exhausted).collect();
         keys.sort();
         keys.dedup();
-        let kept = |key: &OrderKey| KeptOrder {
+        let saved = |key: &OrderKey| SavedOrder {
             key: key.clone(),
-            wanted: self.given.get(key).map(|given| given.wanted),
+            wanted: self.placed.get(key).map(|order| order.wanted),
             is_exhausted: self.is_exhausted(key),
         };
-        keys.into_iter().map(kept).collect()
+        keys.into_iter().map(saved).collect()
     }
 
     /// The orders that were given.
-    pub fn given(&self) -> &BTreeMap<OrderKey, GivenOrder> {
-        &self.given
+    pub fn placed(&self) -> &BTreeMap<OrderKey, GivenOrder> {
+        &self.placed
     }
 
     /// The same, to note what came of them.
-    pub fn given_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
-        &mut self.given
+    pub fn placed_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
+        &mut self.placed
     }
 
     /// How many were ordered last.
-    pub fn ordered(&self, key: &OrderKey) -> Option<u32> {
-        self.given.get(key).map(|given| given.wanted)
+    pub fn last_ordered(&self, key: &OrderKey) -> Option<u32> {
+        self.placed.get(key).map(|order| order.wanted)
     }
 
     /// Whether none could be had at the last try.
     pub fn is_exhausted(&self, key: &OrderKey) -> bool {
-        self.refused.get(key).is_some_and(|refused| refused.is_exhausted)
+        self.failed.get(key).is_some_and(|failure| failure.is_exhausted)
     }
 
     /// Whether an order may be tried: it was not refused a moment ago.
-    pub fn may_try(&self, key: &OrderKey, now: Instant) -> bool {
-        let since = |refused: &RefusedOrder| now.saturating_duration_since(refused.at);
-        self.refused.get(key).is_none_or(|refused| since(refused) >= ORDER_PAUSE)
+    pub fn may_attempt(&self, key: &OrderKey, now: Instant) -> bool {
+        let elapsed_since = |failure: &FailedOrder| now.saturating_duration_since(failure.failed_at);
+        self.failed.get(key).is_none_or(|failure| elapsed_since(failure) >= RETRY_DELAY)
     }
 
     /// Notes that an order was carried out.
-    pub fn note_done(&mut self, order: &CapacityOrder, now: Instant) {
+    pub fn record_placed(&mut self, order: &CapacityOrder, now: Instant) {
         let key = OrderKey::of(order);
-        self.refused.remove(&key);
-        self.given.insert(key, GivenOrder::new(order.wanted, now));
+        self.failed.remove(&key);
+        self.placed.insert(key, GivenOrder::new(order.wanted, now));
     }
 
     /// Notes that an order was not carried out; returns whether it is news that none can be had.
-    pub fn note_refused(&mut self, order: &CapacityOrder, is_exhausted: bool, now: Instant) -> bool {
-        let refused = RefusedOrder { at: now, is_exhausted };
-        let before = self.refused.insert(OrderKey::of(order), refused);
+    pub fn record_failure(&mut self, order: &CapacityOrder, is_exhausted: bool, now: Instant) -> bool {
+        let failure = FailedOrder { failed_at: now, is_exhausted };
+        let before = self.failed.insert(OrderKey::of(order), failure);
         is_exhausted && !before.is_some_and(|before| before.is_exhausted)
     }
 }
--- a/crates/beamwall-duties/tests/orders.rs
+++ b/crates/beamwall-duties/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_duties::OrderBook;
+use beamwall_duties::OrderTracker;
 use beamwall_gateway::ports::CapacityOrder;
 use beamwall_gateway::scaling::{self, OrderKey, ScalingInputs, ZoneSupply};
 use beamwall_gateway::sizing::Needed;
@@ -27,76 +27,76 @@
     OrderKey::new(&"model".into(), &zone.into(), reclaimable)
 }
 
-/// What is due by a book, where zone `a` has lost its reclaimable back ends and `usable` of the lasting ones serve in each zone.
-fn due(book: &mut OrderBook, usable: u32, now: Instant) -> Vec<CapacityOrder> {
+/// What is due by a tracker, where zone `a` has lost its reclaimable back ends and `usable` of the lasting ones serve in each zone.
+fn due(tracker: &mut OrderTracker, usable: u32, now: Instant) -> Vec<CapacityOrder> {
     let service: ServiceName = "model".into();
     let supply = |zone: &&str| ZoneSupply {
         zone: (*zone).into(),
         lasting_usable: usable,
         reclaimable_usable: if *zone == "a" { 0 } else { 16 },
-        lasting_ordered: book.ordered(&key(zone, false)).unwrap_or(usable),
-        is_exhausted: book.is_exhausted(&key(zone, true)),
+        lasting_ordered: tracker.last_ordered(&key(zone, false)).unwrap_or(usable),
+        is_exhausted: tracker.is_exhausted(&key(zone, true)),
     };
     let zones: Vec<ZoneSupply> = ZONES.iter().map(supply).collect();
     let limits = limits();
     let needed = Needed { usual: 49, standing_in: 30, after_loss: 24 };
     let inputs = ScalingInputs { service: &service, limits: &limits, zones: &zones, needed, floor: 0 };
-    scaling::note_usable(book.given_mut(), &service, &zones);
-    let due = scaling::due(&scaling::plan(&inputs), book.given(), &inputs, now);
-    due.into_iter().filter(|order| book.may_try(&OrderKey::of(order), now)).collect()
+    scaling::note_usable(tracker.placed_mut(), &service, &zones);
+    let due = scaling::due(&scaling::plan(&inputs), tracker.placed(), &inputs, now);
+    due.into_iter().filter(|order| tracker.may_attempt(&OrderKey::of(order), now)).collect()
 }
 
 /// A holder that has been told that zone `a` gets none, and has ordered lasting ones in their place.
-fn standing_in(now: Instant) -> OrderBook {
-    let mut book = OrderBook::default();
+fn tracker_with_substitutes(now: Instant) -> OrderTracker {
+    let mut tracker = OrderTracker::default();
     for _ in 0..2 {
-        for order in due(&mut book, 0, now) {
+        for order in due(&mut tracker, 0, now) {
             if order.reclaimable && order.zone.as_str() == "a" {
-                book.note_refused(&order, true, now);
+                tracker.record_failure(&order, true, now);
             } else {
-                book.note_done(&order, now);
+                tracker.record_placed(&order, now);
             }
         }
     }
     assert!(
-        ZONES.iter().any(|zone| book.ordered(&key(zone, false)).is_some_and(|wanted| wanted > 1)),
-        "{book:?}"
+        ZONES.iter().any(|zone| tracker.last_ordered(&key(zone, false)).is_some_and(|wanted| wanted > 1)),
+        "{tracker:?}"
     );
-    book
+    tracker
 }
 
 /// Guards against a new holder that gives back lasting back ends which its predecessor ordered and which are still booting.
 #[test]
-fn a_new_holder_orders_nothing_that_was_ordered_a_moment_ago() {
+fn a_new_holder_does_not_repeat_recent_orders() {
     let now = Instant::now();
-    let before = standing_in(now);
+    let before = tracker_with_substitutes(now);
     let later = now + SECOND;
-    assert!(!due(&mut OrderBook::default(), 0, later).is_empty(), "who knows nothing orders");
-    let mut book = OrderBook::continuing(before.to_keep(), later);
-    assert_eq!(due(&mut book, 0, later), [], "all of it is under way");
-    assert_eq!(book.to_keep(), before.to_keep());
+    assert!(!due(&mut OrderTracker::default(), 0, later).is_empty(), "who knows nothing orders");
+    let mut tracker = OrderTracker::restore(before.to_saved(), later);
+    assert_eq!(due(&mut tracker, 0, later), [], "all of it is under way");
+    assert_eq!(tracker.to_saved(), before.to_saved());
 }
 
 #[test]
-fn what_did_not_come_is_ordered_again_and_what_could_not_be_had_is_tried_again() {
+fn missing_back_ends_are_reordered_and_exhausted_orders_are_retried() {
     let now = Instant::now();
-    let mut book = OrderBook::continuing(standing_in(now).to_keep(), now);
-    let tried = due(&mut book, 0, now + SECOND * 4);
+    let mut tracker = OrderTracker::restore(tracker_with_substitutes(now).to_saved(), now);
+    let tried = due(&mut tracker, 0, now + SECOND * 4);
     assert!(tried.iter().all(|order| order.reclaimable && order.zone.as_str() == "a"), "{tried:?}");
     assert!(!tried.is_empty());
-    let again = due(&mut book, 0, now + SECOND * 7);
+    let again = due(&mut tracker, 0, now + SECOND * 7);
     assert!(again.iter().any(|order| !order.reclaimable), "{again:?}");
 }
 
 #[test]
-fn a_refusal_is_news_once() {
-    let mut book = OrderBook::default();
+fn a_repeated_failure_is_not_reported_again() {
+    let mut tracker = OrderTracker::default();
     let order = CapacityOrder { service: "model".into(), zone: "a".into(), reclaimable: true, wanted: 3 };
     let now = Instant::now();
-    assert!(book.note_refused(&order, true, now));
-    assert!(!book.note_refused(&order, true, now));
-    assert!(!book.may_try(&OrderKey::of(&order), now + SECOND));
-    book.note_done(&order, now + SECOND);
-    assert!(book.may_try(&OrderKey::of(&order), now + SECOND));
-    assert!(!book.is_exhausted(&OrderKey::of(&order)));
+    assert!(tracker.record_failure(&order, true, now));
+    assert!(!tracker.record_failure(&order, true, now));
+    assert!(!tracker.may_attempt(&OrderKey::of(&order), now + SECOND));
+    tracker.record_placed(&order, now + SECOND);
+    assert!(tracker.may_attempt(&OrderKey::of(&order), now + SECOND));
+    assert!(!tracker.is_exhausted(&OrderKey::of(&order)));
 }
--- a/crates/beamwall-duties/tests/usage_windows.rs
+++ b/crates/beamwall-duties/tests/usage_windows.rs
@@ -7,13 +7,13 @@
 const SECOND: Duration = Duration::from_secs(1);
 const TIMING: UsageTiming = UsageTiming {
     window: Duration::from_secs(6),
-    settles: SECOND,
-    waits: Duration::from_secs(8),
-    forgotten: Duration::from_secs(30),
+    settle_delay: SECOND,
+    silent_node_wait: Duration::from_secs(8),
+    max_age: Duration::from_secs(30),
 };
 
-fn at(current: u64, passed_s: u64) -> WindowClock {
-    WindowClock { current, passed: SECOND * u32::try_from(passed_s).expect("small") }
+fn at(current: u64, elapsed_s: u64) -> WindowClock {
+    WindowClock { current, elapsed: SECOND * u32::try_from(elapsed_s).expect("small") }
 }
 
 fn progress(first: u64) -> WindowProgress {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_window_is_due_when_all_have_told_their_counts() {
+fn a_window_is_due_when_all_nodes_have_sent_their_counts() {
     assert_eq!(due(progress(40), at(40, 5), true), None, "it has not ended");
     assert_eq!(due(progress(40), at(41, 0), true), None, "counts are under way");
     assert_eq!(due(progress(40), at(41, 1), true), Some(40));
@@ -35,11 +35,11 @@
 
 /// Guards against a window that nobody reports, because each life began with the window of its own start.
 #[test]
-fn a_window_that_a_predecessor_left_open_is_due() {
+fn a_window_left_open_by_the_previous_holder_is_due() {
     let taken_over = WindowProgress { first: 39, ..progress(41) };
     assert_eq!(due(taken_over, at(41, 1), true), Some(39));
-    let done = WindowProgress { reported_through: Some(39), ..taken_over };
-    assert_eq!(due(done, at(41, 1), true), Some(40));
+    let reported = WindowProgress { reported_through: Some(39), ..taken_over };
+    assert_eq!(due(reported, at(41, 1), true), Some(40));
 }
 
 #[test]
