--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use beamwall_clock::running;
-use beamwall_engine_model::{EngineModels, Reading, ServiceEstimates};
+use beamwall_engine_model::{EngineModels, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_rollout::{Side, VersionRule};
 use rand::seq::SliceRandom;
@@ -89,7 +89,7 @@
         self.prefixes.retain(|backend| directory.get(backend).is_some());
         self.queues.retain(|backend| directory.get(backend).is_some());
         self.reports.retain(|backend| directory.get(backend).is_some());
-        self.models.retain(|backend| directory.get(backend).is_some());
+        self.models.retain_backends(|backend| directory.get(backend).is_some());
     }
 
     /// The candidates for a request, in random order so that equal ones share the load; of many back ends
@@ -117,7 +117,7 @@
                 slots: backend.slots,
                 load: self.load(&backend.id, search.by, &estimates, now),
                 reading: search.prompt.map(|prompt| self.reading(&backend.id, home, prompt, now)),
-                slowness: factors.of(&backend.id),
+                slowness: factors.for_backend(&backend.id),
                 health: self.health(backend, search.by, now),
             })
             .collect()
@@ -170,11 +170,11 @@
         home: Option<&BackendId>,
         prompt: &Prompt,
         now: Instant,
-    ) -> Reading {
+    ) -> PrefillWork {
         let kept = self.prefixes.kept_tokens(backend, prompt, now);
         let assumed = if home == Some(backend) { prefix::shared_tokens(prompt) } else { 0 };
         let kept = kept.max(assumed).min(u64::from(prompt.prompt_tokens));
-        Reading::of_rest(kept, u64::from(prompt.prompt_tokens) - kept)
+        PrefillWork::of_uncached(kept, u64::from(prompt.prompt_tokens) - kept)
     }
 }
 
--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -6,7 +6,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ChoiceStrategy};
 
 use crate::health::HealthView;
@@ -40,7 +40,7 @@
     /// Open work of all nodes there.
     pub load: OpenLoad,
     /// What of the request's prompt it would read; `None` for plain calls.
-    pub reading: Option<Reading>,
+    pub reading: Option<PrefillWork>,
     /// Factor by which it takes longer than its service usually does.
     pub slowness: f64,
     /// How it has fared lately.
@@ -49,9 +49,9 @@
 
 impl Candidate {
     /// What the time to the first event of a model request depends on there.
-    fn first_event(&self, reading: Reading) -> FirstEvent {
+    fn first_event(&self, reading: PrefillWork) -> FirstEventInputs {
         let running = self.load.requests.min(self.slots);
-        FirstEvent { reading, tokens_ahead: self.load.prompt_tokens, running }
+        FirstEventInputs { prefill: reading, tokens_ahead: self.load.prompt_tokens, running }
     }
 
     /// Requests that would wait for a slot there, this one included.
--- a/crates/beamwall-gateway/src/demand.rs
+++ b/crates/beamwall-gateway/src/demand.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use beamwall_engine_model::{Reading, Workload};
+use beamwall_engine_model::{PrefillWork, Workload};
 use beamwall_model::ServiceName;
 
 use crate::reporter::Reporter;
@@ -47,7 +47,7 @@
     }
 
     /// Notes a request that has arrived on a route.
-    pub fn note_request(&self, service: &ServiceName, route: &str, reading: Reading) {
+    pub fn note_request(&self, service: &ServiceName, route: &str, reading: PrefillWork) {
         let mut state = self.lock();
         let events = state.events_by_route.get(route).copied().unwrap_or(USUAL_EVENTS);
         state.own.entry(service.clone()).or_default().pending +=
@@ -68,7 +68,7 @@
         let weight = 1.0 - (-length.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp();
         let close = |(service, meter): (&ServiceName, &mut Meter)| {
             let newest = std::mem::take(&mut meter.pending) / seconds;
-            meter.mean = meter.mean.mixed_with(newest, weight);
+            meter.mean = meter.mean.weighted_mean(newest, weight);
             (service.clone(), meter.mean)
         };
         state.own.iter_mut().map(close).collect()
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use beamwall_clock::timers;
-use beamwall_engine_model::{Reading, ServiceEstimates};
+use beamwall_engine_model::{PrefillWork, ServiceEstimates};
 use beamwall_events::emit;
 use beamwall_events::internal_events::AttemptSent;
 use beamwall_http::Pool;
@@ -318,7 +318,7 @@
     pub fn place(&self, question: &PlacementQuestion) -> Option<Choice> {
         let now = Instant::now();
         self.knowledge.reports.note(&question.sender, &question.unreachable, now);
-        self.knowledge.models.hear_report(question.observed.clone(), now);
+        self.knowledge.models.add_report(question.observed.clone(), now);
         let avoided = [question.tried.as_slice(), &question.unreachable].concat();
         // Who sends to a few back ends of a new version chooses them itself, so this is for all others.
         let versions = self.rollouts.rule(&question.service, None, beamwall_clock::now());
@@ -338,7 +338,7 @@
         if !is_placed {
             return Some(choice);
         }
-        if let Some(reading_ms) = estimates.reading_ms(choice.reading) {
+        if let Some(reading_ms) = estimates.prefill_ms(choice.reading) {
             self.knowledge.queues.add(&choice.backend, reading_ms, now);
         }
         self.knowledge.prefixes.note_read(&choice.backend, &question.prompt, now);
@@ -398,8 +398,8 @@
     /// Time to read a call's whole prompt, where it has one and the service is known.
     pub fn reading_ms(&self, call: &Call) -> Option<f64> {
         let prompt = call.prompt.as_ref()?;
-        let whole = Reading::of_rest(0, u64::from(prompt.prompt_tokens));
-        self.estimates(&call.service).reading_ms(whole)
+        let whole = PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens));
+        self.estimates(&call.service).prefill_ms(whole)
     }
 
     /// Counts a request that a back end began to run.
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use beamwall_engine_model::{FirstEvent, Reading, ToldSlowness};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, SlownessObservation};
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use tokio::time::Instant;
 
@@ -46,7 +46,7 @@
     /// Engines that the sender could not reach a moment ago.
     pub unreachable: Vec<BackendId>,
     /// What the sender observed lately of single engines of the group, and has not reported yet.
-    pub observed: Vec<(BackendId, ToldSlowness)>,
+    pub observed: Vec<(BackendId, SlownessObservation)>,
     /// Longest pause between two events that keeps its stream in time.
     pub pause_objective_ms: Option<u64>,
     /// Time that its caller still waits.
@@ -77,7 +77,7 @@
     /// Factor by which it takes longer than its service usually does, which is in the expected time.
     pub slowness: f64,
     /// What of the prompt it reads.
-    pub reading: Reading,
+    pub reading: PrefillWork,
     /// Tokens of other prompts that it reads before.
     pub tokens_ahead: u64,
     /// Requests open there.
@@ -103,8 +103,12 @@
     }
 
     /// What the time to the first event of a model request depends on there.
-    pub fn first_event(&self) -> FirstEvent {
-        FirstEvent { reading: self.reading, tokens_ahead: self.tokens_ahead, running: self.open_requests }
+    pub fn first_event(&self) -> FirstEventInputs {
+        FirstEventInputs {
+            prefill: self.reading,
+            tokens_ahead: self.tokens_ahead,
+            running: self.open_requests,
+        }
     }
 }
 
--- a/crates/beamwall-gateway/src/sizing.rs
+++ b/crates/beamwall-gateway/src/sizing.rs
@@ -116,7 +116,7 @@
     let is_kept = |idle: f64, now: f64, objective: f64| idle > objective || now <= objective;
     let pause = |objective| is_kept(idle.event_gap_ms, occupancy.event_gap_ms, objective);
     occupancy.running <= f64::from(slots) * fullness.slots
-        && occupancy.reading_share <= fullness.reading
+        && occupancy.prefill_share <= fullness.reading
         && is_kept(idle.first_event_ms, occupancy.first_event_ms, objectives.first_event_ms)
         && objectives.pause_ms.is_none_or(pause)
 }
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -145,6 +145,6 @@
     let of = choice.first_event();
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.knowledge.models;
-    models.note_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
+    models.record_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
     forwarder.note_answer(call, &choice.backend, choice.is_slow(took_ms));
 }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -155,14 +155,14 @@
         if let Some(between_ms) = pace.at_end(now) {
             self.note_event_gap(source, between_ms);
         }
-        self.forwarder.knowledge.models.note_stream(&self.call.service, pace.elapsed_ms(now));
+        self.forwarder.knowledge.models.record_stream(&self.call.service, pace.elapsed_ms(now));
     }
 
     fn note_event_gap(&self, source: &Source, between_ms: f64) {
         let service = &self.call.service;
         let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
         let models = &self.forwarder.knowledge.models;
-        models.note_event_gap(service, &source.choice.backend, running, between_ms, Instant::now());
+        models.record_event_gap(service, &source.choice.backend, running, between_ms, Instant::now());
     }
 
     /// Waits for the next piece. A silent engine is left only where another takes the stream: late events are better than none.
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -117,7 +117,7 @@
     let is_bad = status.is_server_error() || choice.is_slow(took_ms);
     forwarder.note_answer(call, &choice.backend, is_bad);
     let models = &forwarder.knowledge.models;
-    models.note_plain_call(&call.service, &choice.backend, choice.open_requests, took_ms, Instant::now());
+    models.record_plain_call(&call.service, &choice.backend, choice.open_requests, took_ms, Instant::now());
 }
 
 fn deserves_retry(call: &Call, status: StatusCode) -> bool {
--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -4,18 +4,22 @@
 
 use std::time::Duration;
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates};
 use beamwall_gateway::{Choice, admission};
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
 /// The choice of an engine with so many tokens to read before.
 fn choice(estimates: &ServiceEstimates, tokens_ahead: u64) -> Choice {
-    let reading = Reading::of_rest(0, 1_000);
+    let reading = PrefillWork::of_uncached(0, 1_000);
     Choice {
         backend: "e0".into(),
         cost_ms: 0.0,
-        expected_ms: estimates.first_event_ms(FirstEvent { reading, tokens_ahead, running: 3 }),
+        expected_ms: estimates.first_event_ms(FirstEventInputs {
+            prefill: reading,
+            tokens_ahead,
+            running: 3,
+        }),
         slowness: 1.0,
         reading,
         tokens_ahead,
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beamwall_engine_model::{Reading, ServiceEstimates};
+use beamwall_engine_model::{PrefillWork, ServiceEstimates};
 use beamwall_gateway::choice::{self, Candidate, Chooser, Expectation};
 use beamwall_gateway::health::{HealthBook, HealthView};
 use beamwall_gateway::load::{LoadBook, OpenLoad};
@@ -28,8 +28,8 @@
     }
 }
 
-fn unread(tokens: u64) -> Reading {
-    Reading::of_rest(0, tokens)
+fn unread(tokens: u64) -> PrefillWork {
+    PrefillWork::of_uncached(0, tokens)
 }
 
 /// Runs with what is expected of the engines that the tests know.
--- a/crates/beamwall-gateway/tests/demand.rs
+++ b/crates/beamwall-gateway/tests/demand.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_engine_model::{Reading, Workload};
+use beamwall_engine_model::{PrefillWork, Workload};
 use beamwall_gateway::Reporter;
 use beamwall_gateway::demand::DemandBook;
 
@@ -13,7 +13,7 @@
     let mut work = Workload::default();
     for _ in 0..periods {
         for _ in 0..count {
-            book.note_request(&"model".into(), "drafts", Reading::of_rest(0, 3_200));
+            book.note_request(&"model".into(), "drafts", PrefillWork::of_uncached(0, 3_200));
         }
         work = book.close_period(PERIOD)[&"model".into()];
     }
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates, ServiceStatistics};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates, ServiceStatistics};
 use beamwall_gateway::choice::{Candidate, Expectation, choose};
 use beamwall_gateway::health::HealthView;
 use beamwall_gateway::load::OpenLoad;
@@ -18,7 +18,7 @@
 const REQUESTS: usize = 60;
 
 /// What requests truly take at engines `factor` times as fast.
-fn reading_ms(reading: Reading, factor: f64) -> f64 {
+fn reading_ms(reading: PrefillWork, factor: f64) -> f64 {
     support::reading_ms(reading) / factor
 }
 
@@ -30,18 +30,18 @@
         if number % 10 == 0 {
             known = statistics.estimates();
         }
-        let of = FirstEvent {
-            reading: Reading::of_rest((number % 3) * 500, 1 + number * 7_919 % 20_000),
+        let of = FirstEventInputs {
+            prefill: PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000),
             tokens_ahead: number * 104_729 % 15_000,
             running: (number % 24) as u32,
         };
-        let ahead_ms = reading_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
-        let truth_ms = 5.0 + reading_ms(of.reading, factor) + ahead_ms;
+        let ahead_ms = reading_ms(PrefillWork { tokens: of.tokens_ahead, pairs: 0 }, factor);
+        let truth_ms = 5.0 + reading_ms(of.prefill, factor) + ahead_ms;
         // Up to a tenth off, and one in twenty four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
-        statistics.note_first_event(of, truth_ms * noise * outlier, &known);
-        statistics.note_event_gap(of.running, 20.0 / factor, &known);
+        statistics.record_first_event(of, truth_ms * noise * outlier, &known);
+        statistics.record_event_gap(of.running, 20.0 / factor, &known);
     }
     statistics.estimates()
 }
@@ -59,9 +59,9 @@
         Self { free_at_ms: vec![0.0; count], keeps: vec![Vec::new(); count], factor }
     }
 
-    fn reading(&self, engine: usize, session: u64, tokens: u64) -> Reading {
+    fn reading(&self, engine: usize, session: u64, tokens: u64) -> PrefillWork {
         let kept = if self.keeps[engine].contains(&session) { tokens / 2 } else { 0 };
-        Reading::of_rest(kept, tokens - kept)
+        PrefillWork::of_uncached(kept, tokens - kept)
     }
 
     /// Time from now until the engine would begin to answer.
--- a/crates/beamwall-gateway/tests/lives.rs
+++ b/crates/beamwall-gateway/tests/lives.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use beamwall_engine_model::ToldSlowness;
+use beamwall_engine_model::SlownessObservation;
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::Candidate;
 use beamwall_gateway::load::OpenLoad;
@@ -47,8 +47,8 @@
     knowledge.queues.add(id, 4_000.0, now);
     knowledge.reports.note(&"n1".into(), std::slice::from_ref(id), now);
     knowledge.reports.note(&"n2".into(), std::slice::from_ref(id), now);
-    let slow = ToldSlowness { logarithms: 8.0, weight: 4.0 };
-    knowledge.models.hear_report(vec![(id.clone(), slow)], now);
+    let slow = SlownessObservation { logarithms: 8.0, weight: 4.0 };
+    knowledge.models.add_report(vec![(id.clone(), slow)], now);
     tell_loads(knowledge, id);
     knowledge.models.refresh(now);
 }
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beamwall_engine_model::Reading;
+use beamwall_engine_model::PrefillWork;
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::health::HealthBook;
@@ -37,7 +37,7 @@
 
 /// Time that an engine takes to read a whole prompt.
 fn reading_ms(tokens: u64) -> f64 {
-    support::reading_ms(Reading::of_rest(0, tokens))
+    support::reading_ms(PrefillWork::of_uncached(0, tokens))
 }
 
 fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, avoided: &[BackendId]) -> BackendId {
@@ -138,13 +138,13 @@
 
 #[test]
 fn the_rest_of_a_long_prompt_takes_longer_to_read() {
-    assert_eq!(Reading::of_rest(0, 500), Reading { tokens: 500, pairs: 125_000 });
-    assert_eq!(Reading::of_rest(6_000, 0), Reading::default());
-    assert_eq!(Reading::of_rest(6_000, 3_000), Reading { tokens: 3_000, pairs: 22_500_000 });
+    assert_eq!(PrefillWork::of_uncached(0, 500), PrefillWork { tokens: 500, pairs: 125_000 });
+    assert_eq!(PrefillWork::of_uncached(6_000, 0), PrefillWork::default());
+    assert_eq!(PrefillWork::of_uncached(6_000, 3_000), PrefillWork { tokens: 3_000, pairs: 22_500_000 });
     let estimates = support::observed().estimates();
     for (kept, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
-        let reading = Reading::of_rest(kept, unread);
-        let (learnt, truth) = (estimates.reading_ms(reading).expect("known"), support::reading_ms(reading));
+        let reading = PrefillWork::of_uncached(kept, unread);
+        let (learnt, truth) = (estimates.prefill_ms(reading).expect("known"), support::reading_ms(reading));
         assert!((learnt / truth - 1.0).abs() < 0.05, "{learnt} instead of {truth} for {reading:?}");
     }
 }
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beamwall_engine_model::Reading;
+use beamwall_engine_model::PrefillWork;
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::{EngineGroup, EngineGroups};
@@ -46,7 +46,7 @@
 }
 
 fn reading_ms(tokens: u32) -> f64 {
-    support::reading_ms(Reading::of_rest(0, u64::from(tokens)))
+    support::reading_ms(PrefillWork::of_uncached(0, u64::from(tokens)))
 }
 
 fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
@@ -63,7 +63,7 @@
     let estimates = knowledge.models.estimates(search.service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
     let chosen = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-    let reading_ms = estimates.reading_ms(Reading::of_rest(0, u64::from(prompt.prompt_tokens)));
+    let reading_ms = estimates.prefill_ms(PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens)));
     knowledge.queues.add(&chosen, reading_ms.expect("known"), Instant::now());
     chosen
 }
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -34,7 +34,7 @@
         let is_kept = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             one.running <= f64::from(SLOTS) * USUAL.slots
-                && one.reading_share <= USUAL.reading
+                && one.prefill_share <= USUAL.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -106,7 +106,7 @@
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             let fullness = usual_fullness(count);
             one.running <= f64::from(SLOTS) * fullness.slots
-                && one.reading_share <= fullness.reading
+                && one.prefill_share <= fullness.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -8,7 +8,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use beamwall_engine_model::{EngineModels, FirstEvent, Reading};
+use beamwall_engine_model::{EngineModels, FirstEventInputs, PrefillWork};
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::EngineGroup;
@@ -71,7 +71,7 @@
     /// Places a request of a gateway, which reports what it observed.
     fn send(&mut self, gateway: usize, tokens: u64, takes: impl FnOnce(&BackendId, f64) -> f64) -> BackendId {
         let now = Instant::now();
-        self.placing.models.hear_report(self.gateways[gateway].take_unreported(|_| true, now), now);
+        self.placing.models.add_report(self.gateways[gateway].take_unreported(|_| true, now), now);
         let parts = vec![PromptPart { id: now.elapsed().as_nanos() as u64, tokens: tokens as u32 }];
         let prompt = Prompt { prompt_tokens: tokens as u32, output_tokens: 10, parts };
         let search = Search {
@@ -87,7 +87,7 @@
         let estimates = self.placing.models.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
         let engine = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-        let reading_ms = support::reading_ms(Reading::of_rest(0, tokens));
+        let reading_ms = support::reading_ms(PrefillWork::of_uncached(0, tokens));
         self.placing.queues.add(&engine, reading_ms, now);
         let ends = now + Duration::from_secs_f64(takes(&engine, 5.0 + reading_ms) / 1_000.0);
         let ends = std::cmp::Reverse(ends);
@@ -100,11 +100,11 @@
         let now = Instant::now();
         while self.under_way.peek().is_some_and(|request| request.ends.0 <= now) {
             let Some(request) = self.under_way.pop() else { return };
-            let reading = Reading::of_rest(0, request.tokens);
-            let of = FirstEvent { reading, tokens_ahead: 0, running: 0 };
+            let reading = PrefillWork::of_uncached(0, request.tokens);
+            let of = FirstEventInputs { prefill: reading, tokens_ahead: 0, running: 0 };
             let took_ms = (request.ends.0 - request.begun).as_secs_f64() * 1_000.0;
             let models = &self.gateways[request.gateway];
-            models.note_first_event(&"pool".into(), &request.engine, of, took_ms, now);
+            models.record_first_event(&"pool".into(), &request.engine, of, took_ms, now);
         }
     }
 }
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use beamwall_engine_model::{FirstEvent, Reading};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork};
 use beamwall_gateway::Choice;
 use beamwall_gateway::candidates::Knowledge;
 use beamwall_model::BackendId;
@@ -50,7 +50,8 @@
         let now = Instant::now();
         let models = &self.knowledge.models;
         models.refresh(now);
-        let of = FirstEvent { reading: Reading::of_rest(0, TOKENS), tokens_ahead: 0, running: 0 };
+        let of =
+            FirstEventInputs { prefill: PrefillWork::of_uncached(0, TOKENS), tokens_ahead: 0, running: 0 };
         let slowness = models.slowness(engine);
         let usual_ms = models.estimates(&"pool".into()).first_event_ms(of).expect("a known service");
         let choice = Choice {
@@ -58,15 +59,15 @@
             cost_ms: 0.0,
             expected_ms: Some(usual_ms * slowness),
             slowness,
-            reading: of.reading,
+            reading: of.prefill,
             tokens_ahead: 0,
             open_requests: 0,
             failure_share: 0.0,
             candidates: 1,
             chosen_by: "n0".into(),
         };
-        let took_ms = (5.0 + support::reading_ms(of.reading)) * factor * self.random.random_range(0.8..1.3);
-        models.note_first_event(&"pool".into(), engine, of, took_ms, now);
+        let took_ms = (5.0 + support::reading_ms(of.prefill)) * factor * self.random.random_range(0.8..1.3);
+        models.record_first_event(&"pool".into(), engine, of, took_ms, now);
         choice.is_slow(took_ms)
     }
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -4,7 +4,9 @@
 
 use std::sync::Arc;
 
-use beamwall_engine_model::{EngineModels, FirstEvent, Reading, ServiceEstimates, ServiceStatistics};
+use beamwall_engine_model::{
+    EngineModels, FirstEventInputs, PrefillWork, ServiceEstimates, ServiceStatistics,
+};
 use beamwall_gateway::forward::Call;
 use beamwall_gateway::ports::DirectorySnapshot;
 use beamwall_gateway::{Backend, Directory, Prompt, Reporter, Vanishing};
@@ -27,7 +29,7 @@
 pub const PLAIN_CALL_MS: f64 = 15.0;
 
 /// Time to read a part of a prompt.
-pub fn reading_ms(reading: Reading) -> f64 {
+pub fn reading_ms(reading: PrefillWork) -> f64 {
     reading.tokens as f64 / TOKENS_PER_MS + reading.pairs as f64 / 1e6 * PAIRS_MS_PER_MILLION
 }
 
@@ -41,23 +43,23 @@
     let mut statistics = ServiceStatistics::default();
     let unknown = ServiceEstimates::default();
     for number in 0..300_u64 {
-        let reading = Reading::of_rest((number % 3) * 500, 1 + number * 7_919 % 20_000);
+        let reading = PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000);
         let (tokens_ahead, running) = (number * 104_729 % 15_000, (number % 24) as u32);
-        let of = FirstEvent { reading, tokens_ahead, running };
+        let of = FirstEventInputs { prefill: reading, tokens_ahead, running };
         let ahead_ms = tokens_ahead as f64 / TOKENS_PER_MS;
         let took_ms = 5.0 + reading_ms(reading) + ahead_ms + f64::from(running) * running_ms;
-        statistics.note_first_event(of, took_ms, &unknown);
+        statistics.record_first_event(of, took_ms, &unknown);
         let gap_ms = EVENT_GAP_MS + f64::from(running) * EVENT_GAP_MS_EACH;
-        statistics.note_event_gap(running, gap_ms, &unknown);
-        statistics.note_plain_call(running, PLAIN_CALL_MS * f64::from(running + 1));
-        statistics.note_stream(1_000.0);
+        statistics.record_event_gap(running, gap_ms, &unknown);
+        statistics.record_plain_call(running, PLAIN_CALL_MS * f64::from(running + 1));
+        statistics.record_stream(1_000.0);
     }
     statistics
 }
 
 /// Lets a node know the service `pool`.
 pub fn teach(models: &EngineModels<Reporter>, observed: ServiceStatistics) {
-    models.set_peer(&Reporter::Node("teacher".into()), [("pool".into(), observed)].into());
+    models.set_peer_statistics(&Reporter::Node("teacher".into()), [("pool".into(), observed)].into());
     models.refresh(Instant::now());
 }
 
--- a/crates/beamwall-node/src/gateway/beat.rs
+++ b/crates/beamwall-node/src/gateway/beat.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use beamwall_engine_model::{ServiceStatistics, ToldSlowness, Workload};
+use beamwall_engine_model::{ServiceStatistics, SlownessObservation, Workload};
 use beamwall_gateway::load::OpenLoad;
 use beamwall_gateway::usage::WindowCounts;
 use beamwall_model::{BackendId, ServiceName, TenantName};
@@ -88,8 +88,8 @@
 }
 
 /// What was observed of single back ends as told.
-pub fn encode_slowness(observed: Vec<(BackendId, ToldSlowness)>) -> Vec<BackendSlowness> {
-    let encode = |(backend, told): (BackendId, ToldSlowness)| BackendSlowness {
+pub fn encode_slowness(observed: Vec<(BackendId, SlownessObservation)>) -> Vec<BackendSlowness> {
+    let encode = |(backend, told): (BackendId, SlownessObservation)| BackendSlowness {
         backend: backend.to_string(),
         logarithms: told.logarithms as f32,
         weight: told.weight as f32,
@@ -98,9 +98,10 @@
 }
 
 /// What was observed of single back ends as heard.
-pub fn decode_slowness(told: &[BackendSlowness]) -> Vec<(BackendId, ToldSlowness)> {
+pub fn decode_slowness(told: &[BackendSlowness]) -> Vec<(BackendId, SlownessObservation)> {
     let decode = |one: &BackendSlowness| {
-        let observed = ToldSlowness { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
+        let observed =
+            SlownessObservation { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
         (BackendId::new(&one.backend), observed)
     };
     told.iter().map(decode).collect()
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_duties::{KeptOrder, OrderBook};
+use beamwall_duties::{OrderTracker, SavedOrder};
 use beamwall_events::emit;
 use beamwall_events::internal_events::{CapacityNotKnown, CapacityOrdered};
 use beamwall_gateway::ports::CapacityOrder;
@@ -24,7 +24,7 @@
 /// The orders of one tenure, and when to look at them.
 #[derive(Debug, Default)]
 pub(super) struct OrderTenure {
-    book: OrderBook,
+    book: OrderTracker,
     next_look: Option<Instant>,
     /// Services of which it was said that their needs are not known.
     told_unknown: BTreeSet<ServiceName>,
@@ -32,8 +32,8 @@
 
 impl OrderTenure {
     /// A tenure that goes on from what the last holder kept.
-    pub(super) fn continuing(kept: Vec<KeptOrder>) -> Self {
-        Self { book: OrderBook::continuing(kept, Instant::now()), ..Self::default() }
+    pub(super) fn continuing(kept: Vec<SavedOrder>) -> Self {
+        Self { book: OrderTracker::restore(kept, Instant::now()), ..Self::default() }
     }
 }
 
@@ -82,7 +82,7 @@
                 self.give(order, needed, tenure, holding).await;
             }
         }
-        self.kept.note_orders(tenure.book.to_keep());
+        self.kept.note_orders(tenure.book.to_saved());
     }
 
     /// Says once a tenure of each service that its back ends are kept because its needs are not known.
@@ -96,7 +96,7 @@
 
     /// Gives one order, unless it was refused a moment ago, and notes what came of it.
     async fn give(&self, order: CapacityOrder, needed: Needed, tenure: &mut OrderTenure, holding: &Holding) {
-        if !tenure.book.may_try(&OrderKey::of(&order), Instant::now()) {
+        if !tenure.book.may_attempt(&OrderKey::of(&order), Instant::now()) {
             return;
         }
         let Some(holder) = holding.holder() else { return };
@@ -112,9 +112,9 @@
         });
         let now = Instant::now();
         match result {
-            Ok(()) => tenure.book.note_done(&order, now),
+            Ok(()) => tenure.book.record_placed(&order, now),
             Err(error) => {
-                let is_news = tenure.book.note_refused(&order, error == DutyError::Exhausted, now);
+                let is_news = tenure.book.record_failure(&order, error == DutyError::Exhausted, now);
                 if is_news {
                     // What can't be had is news: lasting ones stand in for it from the next look on.
                     tenure.next_look = None;
@@ -123,7 +123,7 @@
         }
     }
 
-    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderBook) -> ZoneSupply {
+    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderTracker) -> ZoneSupply {
         let directory = self.gateway.forwarder.directory.load();
         let usable = |reclaimable: bool| {
             let in_zone = directory.usable(&service.name).filter(|backend| &backend.zone == zone);
@@ -136,7 +136,7 @@
             lasting_usable,
             reclaimable_usable: usable(true),
             // Where nothing is kept of what a predecessor ordered, it is known what came of it.
-            lasting_ordered: book.ordered(&key(false)).unwrap_or(lasting_usable),
+            lasting_ordered: book.last_ordered(&key(false)).unwrap_or(lasting_usable),
             is_exhausted: book.is_exhausted(&key(true)),
         }
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderBook) -> Vec<CapacityOrder> {
+    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderTracker) -> Vec<CapacityOrder> {
         let Some(limits) = &service.scaling else { return Vec::new() };
         let zones: Vec<ZoneSupply> =
             limits.zone_prices.keys().map(|zone| self.supply(service, zone, book)).collect();
@@ -179,7 +179,7 @@
             needed,
             floor: self.floor(&service.name),
         };
-        scaling::note_usable(book.given_mut(), inputs.service, &zones);
-        scaling::due(&scaling::plan(&inputs), book.given(), &inputs, Instant::now())
+        scaling::note_usable(book.placed_mut(), inputs.service, &zones);
+        scaling::due(&scaling::plan(&inputs), book.placed(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/followed_demand.rs
+++ b/crates/beamwall-node/src/gateway/duties/followed_demand.rs
@@ -39,7 +39,7 @@
             self.first_request.get_or_insert_with(Instant::now);
         }
         let newest = asked.unwrap_or_default();
-        self.work = newest.max(self.work.mixed_with(newest, LOAD_FALL_WEIGHT));
+        self.work = newest.max(self.work.weighted_mean(newest, LOAD_FALL_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
         if self.is_unknown() && directory.is_whole() {
--- a/crates/beamwall-node/src/gateway/duties/kept.rs
+++ b/crates/beamwall-node/src/gateway/duties/kept.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use beamwall_duties::{DutyCheckpoint, KeptOrder};
+use beamwall_duties::{DutyCheckpoint, SavedOrder};
 use beamwall_events::emit;
 use beamwall_events::internal_events::{DutiesNotKept, DutiesTakenOver};
 use beamwall_gateway::Gateway;
@@ -21,7 +21,7 @@
     needs: BTreeMap<ServiceName, Needed>,
     /// Needs that the last holder kept.
     taken_needs: BTreeMap<ServiceName, Needed>,
-    orders: Vec<KeptOrder>,
+    orders: Vec<SavedOrder>,
 }
 
 /// What the duties keep with the lease.
@@ -68,12 +68,12 @@
     }
 
     /// Notes what was ordered.
-    pub(super) fn note_orders(&self, orders: Vec<KeptOrder>) {
+    pub(super) fn note_orders(&self, orders: Vec<SavedOrder>) {
         self.lock().orders = orders;
     }
 
     /// What was ordered last, as far as this node knows.
-    pub(super) fn orders(&self) -> Vec<KeptOrder> {
+    pub(super) fn orders(&self) -> Vec<SavedOrder> {
         self.lock().orders.clone()
     }
 
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -90,7 +90,7 @@
         let Some(due) = self.due_window(&done, fixed) else { return };
         let Some(counts) = self.fix(progress, due).await else { return };
         let Some(holder) = holding.holder() else { return };
-        let after = self.clock().ended_for(due, self.window_length).unwrap_or_default();
+        let after = self.clock().time_since_end(due, self.window_length).unwrap_or_default();
         let unheard = self.exchange.unheard();
         let result = self.port.report_usage(&holder, &counts).await;
         emit(&UsageReported {
@@ -117,9 +117,9 @@
     fn due_window(&self, done: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
         let timing = UsageTiming {
             window: self.window_length,
-            settles: if self.exchange.is_large() { USAGE_SETTLES_LARGE } else { USAGE_SETTLES },
-            waits: USAGE_WAITS,
-            forgotten: USAGE_FORGOTTEN,
+            settle_delay: if self.exchange.is_large() { USAGE_SETTLES_LARGE } else { USAGE_SETTLES },
+            silent_node_wait: USAGE_WAITS,
+            max_age: USAGE_FORGOTTEN,
         };
         let is_complete = self.exchange.unheard() == 0;
         done.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
@@ -128,7 +128,7 @@
     fn clock(&self) -> WindowClock {
         let now = self.gateway.forwarder.clock.now();
         let (current, passed) = self.gateway.forwarder.usage.window_at(now);
-        WindowClock { current, passed }
+        WindowClock { current, elapsed: passed }
     }
 
     /// Reads what was fixed. Where another writer has taken its place, it is not known which windows were reported, so none that
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -42,7 +42,7 @@
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let slowness = beat::encode_slowness(models.own_slowness(Instant::now()));
-        let told = if self.is_time_to_tell_models() { models.own() } else { Vec::new() };
+        let told = if self.is_time_to_tell_models() { models.own_statistics() } else { Vec::new() };
         (beat::encode_models(told), slowness)
     }
 
@@ -50,8 +50,8 @@
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
-        let slowness = beat::encode_slowness(models.slowness_of(is_node, Instant::now()));
-        (beat::encode_models(models.sum_of(is_node)), slowness)
+        let slowness = beat::encode_slowness(models.merged_slowness(is_node, Instant::now()));
+        (beat::encode_models(models.merged_statistics(is_node)), slowness)
     }
 
     /// Takes what somebody else observed. A heartbeat without sums leaves those told before.
@@ -63,7 +63,7 @@
     ) {
         let known = &self.gateway.forwarder.knowledge.models;
         if !models.is_empty() {
-            known.set_peer(reporter, beat::decode_models(models));
+            known.set_peer_statistics(reporter, beat::decode_models(models));
         }
         known.set_peer_slowness(reporter, beat::decode_slowness(slowness), Instant::now());
     }
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/placing.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use beamwall_clock::running;
 use beamwall_config::GatewaySettings;
-use beamwall_engine_model::Reading;
+use beamwall_engine_model::PrefillWork;
 use beamwall_events::emit;
 use beamwall_events::internal_events::PlacementUnanswered;
 use beamwall_gateway::placement_groups::EngineGroup;
@@ -146,7 +146,7 @@
     Choice {
         backend: BackendId::new(&reply.backend),
         cost_ms: reply.cost_ms,
-        reading: Reading { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
+        reading: PrefillWork { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
         tokens_ahead: reply.tokens_ahead,
         expected_ms: reply.expected_ms,
         // Earlier builds tell none.
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -234,6 +234,6 @@
     pub(super) fn forget_work_of(&self, reporter: &Reporter) {
         self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
         self.gateway.forwarder.demand.forget_peer(reporter);
-        self.gateway.forwarder.knowledge.models.forget_peer(reporter);
+        self.gateway.forwarder.knowledge.models.remove_peer(reporter);
     }
 }
