--- a/crates/beamwall-engine-model/src/estimates.rs
+++ b/crates/beamwall-engine-model/src/estimates.rs
@@ -1,4 +1,4 @@
-//! What the back ends of a service are expected to do.
+//! Expected latency and load of a service's back ends.
 
 use crate::regression::Fit;
 use crate::statistics::{
@@ -6,27 +6,27 @@
 };
 use crate::workload::Workload;
 
-/// Waits of 95 in 100 requests, in mean waits, where the time between requests is random.
+/// Ratio of the 95th percentile of the waiting time to its mean when requests arrive at random.
 const P95_WAIT_FACTOR: f64 = 3.0;
-/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
-/// Rounds after which the number of requests that run no longer moves.
+/// Iterations after which the number of concurrent requests has converged.
 const FIXED_POINT_ITERATIONS: usize = 20;
 
-/// What one back end does under a workload.
+/// Expected load and latency of one back end under a workload.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Occupancy {
-    /// Part of its time for which it reads prompts, 0 to 1 and beyond.
+    /// Fraction of time spent in prefill: 0 to 1, or above 1 when overloaded.
     pub prefill_share: f64,
-    /// Requests that run at once, in the mean.
+    /// Mean number of concurrent requests.
     pub running: f64,
-    /// Time to the first event of 95 in 100 requests, in milliseconds; without end where it can't keep up.
+    /// 95th percentile of the time to the first event, in milliseconds; infinite when the back end can't keep
+    /// up.
     pub first_event_ms: f64,
     /// Time between two events, in milliseconds.
     pub event_gap_ms: f64,
 }
 
-/// What the back ends of a service are expected to do. Without enough samples there is no expectation.
+/// Expected latency of a service's back ends. An estimate is `None` until there are enough samples.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceEstimates {
     first_event: Option<Fit<5>>,
@@ -37,7 +37,7 @@
 }
 
 impl ServiceEstimates {
-    /// Fits the sums; `before` is what they said last.
+    /// Fits the statistics, starting from the `previous` estimates.
     pub(crate) fn new(statistics: &ServiceStatistics, previous: &Self) -> Self {
         let first_event = statistics.first_event;
         let event_gap = statistics.event_gap;
@@ -58,32 +58,33 @@
         }
     }
 
-    /// Whether enough is known to say how many model engines a workload needs.
+    /// Returns whether there are enough samples to compute how many model engines a workload needs.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// Expected time to a first event in milliseconds.
+    /// Returns the expected time to the first event in milliseconds.
     pub fn first_event_ms(&self, inputs: FirstEventInputs) -> Option<f64> {
         self.first_event.map(|fit| fit.predict(inputs.features()))
     }
 
-    /// How far the expected time to a first event may be from the mean of such requests, in milliseconds.
+    /// Returns the standard error of the expected time to the first event, in milliseconds.
     pub fn first_event_error_ms(&self, inputs: FirstEventInputs) -> Option<f64> {
         self.first_event.map(|fit| fit.standard_error(inputs.features()))
     }
 
-    /// Usual difference of times to the first event from what is expected, as a part of that.
+    /// Returns the relative standard deviation of the time to the first event.
     pub fn first_event_deviation(&self) -> Option<f64> {
         self.first_event.map(|fit| fit.deviation())
     }
 
-    /// Time to read the rest of a prompt in milliseconds.
+    /// Returns the expected prefill time in milliseconds.
     pub fn prefill_ms(&self, prefill: PrefillWork) -> Option<f64> {
         self.first_event.map(|fit| prefill_ms(&fit.coefficients, prefill))
     }
 
-    /// Tokens of a short prompt that are read in a millisecond; `None` too where reading takes no time.
+    /// Returns the prefill rate for a short prompt in tokens per millisecond; `None` also when prefill takes
+    /// no time.
     pub fn tokens_per_ms(&self) -> Option<f64> {
         const SHORT_PROMPT: PrefillWork = PrefillWork { tokens: 1_000, pairs: 0 };
         self.prefill_ms(SHORT_PROMPT)
@@ -91,27 +92,27 @@
             .map(|took_ms| SHORT_PROMPT.tokens as f64 / took_ms)
     }
 
-    /// Expected time between two events in milliseconds while `running` requests run.
+    /// Returns the expected time between two events in milliseconds with `running` concurrent requests.
     pub fn event_gap_ms(&self, running: u32) -> Option<f64> {
         self.event_gap.map(|fit| fit.predict([1.0, f64::from(running)]))
     }
 
-    /// Usual difference of times between events from what is expected, as a part of that.
+    /// Returns the relative standard deviation of the time between events.
     pub fn event_gap_deviation(&self) -> Option<f64> {
         self.event_gap.map(|fit| fit.deviation())
     }
 
-    /// Expected time of a plain call in milliseconds while `running` others run.
+    /// Returns the expected duration of a plain call in milliseconds beside `running` other requests.
     pub fn plain_call_ms(&self, running: u32) -> Option<f64> {
         self.plain_call.map(|fit| fit.predict([1.0, f64::from(running)]))
     }
 
-    /// Mean time of a stream from its first event, in milliseconds.
+    /// Returns the mean duration of a stream from its first event, in milliseconds.
     pub fn stream_ms(&self) -> Option<f64> {
         self.stream_ms
     }
 
-    /// What one back end does under its part of a workload; `None` while not enough is known.
+    /// Returns the load of one back end under its share of a workload; `None` without enough samples.
     pub fn occupancy(&self, workload: Workload) -> Option<Occupancy> {
         if !self.is_known {
             return None;
--- a/crates/beamwall-engine-model/src/lib.rs
+++ b/crates/beamwall-engine-model/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the back ends of a service can do, learnt from the requests that they answer.
+//! Latency models of a service's back ends, learnt from the requests that they answer.
 //!
-//! Nothing is written down of how fast an engine reads or writes. Each node observes how long its requests
-//! waited for their first event and how far apart events came, and keeps [`ServiceStatistics`]: sums from
-//! which a line is fitted by least squares. Sums of several nodes are added, so that all nodes have one model
-//! and a new node has it with the first heartbeat that it hears. [`ServiceEstimates`] are what the sums say:
-//! expected times for a request, with their uncertainty. [`SlownessTracker`] tells which single back ends are slower
-//! than their service.
+//! Engine speeds are not configured. Each node measures the time to the first event and the time between
+//! events of its requests and keeps [`ServiceStatistics`]: sums to which a linear model is fitted by least
+//! squares. The sums of several nodes add up, so all nodes share one model and a new node has it after the
+//! first heartbeat it receives. [`ServiceEstimates`] are the fitted models: expected times for a request,
+//! with their uncertainty. [`SlownessTracker`] finds individual back ends that are slower than is usual for
+//! their service.
 
 pub mod estimates;
 pub mod models;
--- a/crates/beamwall-engine-model/src/models.rs
+++ b/crates/beamwall-engine-model/src/models.rs
@@ -1,4 +1,4 @@
-//! The models of all services at one node: what it observed itself and what others told.
+//! Engine models of all services on one node, from its own observations and those of its peers.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -16,13 +16,13 @@
     own_statistics: HashMap<ServiceName, ServiceStatistics>,
     peer_statistics: HashMap<P, HashMap<ServiceName, ServiceStatistics>>,
     own_slowness: SlownessTracker,
-    /// The part of it that was not reported to who chooses.
+    /// Own observations not yet reported to the node that selects back ends.
     unreported: SlownessTracker,
-    /// What others reported to this node, because it chooses for them.
+    /// Observations reported to this node by the nodes for which it selects back ends.
     received_reports: SlownessTracker,
     peer_slowness: HashMap<P, SlownessTracker>,
     estimates: HashMap<ServiceName, Arc<ServiceEstimates>>,
-    /// From what all observed.
+    /// Slowdown factors from the observations of all nodes.
     factors: Arc<SlownessFactors>,
 }
 
@@ -35,7 +35,8 @@
         self.own_statistics.entry(service.clone()).or_default()
     }
 
-    /// Compares a time with the one expected of any back end of the service, where that is estimates.
+    /// Compares a measured time with the estimate for any back end of the service. Does nothing without an
+    /// estimate.
     fn record_slowness(&mut self, backend: &BackendId, took_ms: f64, expected_ms: Option<f64>, now: Instant) {
         if let Some(expected_ms) = expected_ms {
             self.own_slowness.record_sample(backend, took_ms, expected_ms, now);
@@ -44,7 +45,7 @@
     }
 }
 
-/// The models of all services. `P` names who tells what others observed.
+/// Engine models of all services. `P` identifies a peer that sends its observations.
 #[derive(Debug)]
 pub struct EngineModels<P> {
     state: Mutex<State<P>>,
@@ -72,23 +73,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is expected of a service's back ends, as of the last [`Self::refresh`].
+    /// Returns the estimates for a service's back ends as of the last [`Self::refresh`].
     pub fn estimates(&self, service: &ServiceName) -> Arc<ServiceEstimates> {
         self.lock().estimates_of(service)
     }
 
-    /// How much slower than their services single back ends are, as of the last [`Self::refresh`]. Whoever compares
-    /// many back ends takes this once.
+    /// Returns the slowdown factors of individual back ends as of the last [`Self::refresh`]. A caller that
+    /// compares many back ends calls this once.
     pub fn factors(&self) -> Arc<SlownessFactors> {
         self.lock().factors.clone()
     }
 
-    /// The factor by which one back end takes longer than its service usually does.
+    /// Returns the factor by which a back end is slower than is usual for its service.
     pub fn slowness(&self, backend: &BackendId) -> f64 {
         self.factors().for_backend(backend)
     }
 
-    /// Notes the time to a request's first event.
+    /// Records the time to a request's first event.
     pub fn record_first_event(
         &self,
         service: &ServiceName,
@@ -103,7 +104,7 @@
         state.own_statistics_of(service).record_first_event(inputs, took_ms, &estimates);
     }
 
-    /// Notes the mean time between two events of a stream.
+    /// Records the mean time between two events of a stream.
     pub fn record_event_gap(
         &self,
         service: &ServiceName,
@@ -118,7 +119,7 @@
         state.own_statistics_of(service).record_event_gap(running, took_ms, &estimates);
     }
 
-    /// Notes the time of a plain call.
+    /// Records the duration of a plain (not streamed) call.
     pub fn record_plain_call(
         &self,
         service: &ServiceName,
@@ -133,12 +134,13 @@
         state.own_statistics_of(service).record_plain_call(running, took_ms);
     }
 
-    /// Notes the time of a whole stream from its first event.
+    /// Records the duration of a stream from its first event to its end.
     pub fn record_stream(&self, service: &ServiceName, took_ms: f64) {
         self.lock().own_statistics_of(service).record_stream(took_ms);
     }
 
-    /// Fits the models anew from what all observed; gives the services of which enough is known only now.
+    /// Refits the models to the observations of all nodes. Returns the services that have enough samples for
+    /// the first time.
     pub fn refresh(&self, now: Instant) -> Vec<ServiceName> {
         let mut state = self.lock();
         let peer_trackers = state.peer_slowness.values();
@@ -159,7 +161,7 @@
         newly_known
     }
 
-    /// What this node observed, to be told.
+    /// Returns the statistics that this node observed, to be sent to its peers.
     pub fn own_statistics(&self) -> Vec<(ServiceName, ServiceStatistics)> {
         self.lock()
             .own_statistics
@@ -168,14 +170,14 @@
             .collect()
     }
 
-    /// What this node observed of single back ends, to be told.
+    /// Returns the notable slowness observations of this node, to be sent to its peers.
     pub fn own_slowness(&self, now: Instant) -> Vec<(BackendId, SlownessObservation)> {
         let state = self.lock();
         let notable = state.own_slowness.all(now).filter(|(_, observed)| observed.is_notable());
         notable.map(|(backend, observed)| (backend.clone(), observed)).collect()
     }
 
-    /// Takes what this node observed of single back ends and has not reported yet.
+    /// Removes and returns this node's observations of selected back ends that are not reported yet.
     pub fn take_unreported(
         &self,
         among: impl Fn(&BackendId) -> bool,
@@ -184,7 +186,7 @@
         self.lock().unreported.take(among, now)
     }
 
-    /// Adds what somebody reported, for whom this node chooses.
+    /// Adds the observations reported by a node for which this node selects back ends.
     pub fn add_report(&self, report: Vec<(BackendId, SlownessObservation)>, now: Instant) {
         let mut state = self.lock();
         for (backend, observation) in report {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// What this node observed and what those told who satisfy `is_counted`.
+    /// Merges this node's statistics with those of the peers that satisfy `is_counted`.
     pub fn merged_statistics(
         &self,
         is_counted: impl Fn(&P) -> bool,
@@ -202,7 +204,8 @@
         merge_statistics(state.own_statistics.iter().chain(counted.flat_map(|(_, statistics)| statistics)))
     }
 
-    /// The same of single back ends that are not as fast as their service.
+    /// Merges this node's slowness observations with those of the peers that satisfy `is_counted`. Returns
+    /// only back ends whose speed differs notably from their service's.
     pub fn merged_slowness(
         &self,
         is_counted: impl Fn(&P) -> bool,
@@ -216,12 +219,12 @@
         sums.into_iter().collect()
     }
 
-    /// Replaces what a peer told of services.
+    /// Replaces the service statistics received from a peer.
     pub fn set_peer_statistics(&self, peer: &P, statistics: HashMap<ServiceName, ServiceStatistics>) {
         self.lock().peer_statistics.insert(peer.clone(), statistics);
     }
 
-    /// Replaces what a peer told of single back ends.
+    /// Replaces the slowness observations received from a peer.
     pub fn set_peer_slowness(
         &self,
         peer: &P,
@@ -231,14 +234,15 @@
         self.lock().peer_slowness.entry(peer.clone()).or_default().set_observations(observations, now);
     }
 
-    /// Forgets all that somebody told: it has died, or its work is part of what another tells from now on.
+    /// Removes all data received from a peer: it has failed, or another peer's data includes its observations
+    /// from now on.
     pub fn remove_peer(&self, peer: &P) {
         let mut state = self.lock();
         state.peer_statistics.remove(peer);
         state.peer_slowness.remove(peer);
     }
 
-    /// Forgets back ends that are gone.
+    /// Drops observations of back ends that no longer exist.
     pub fn retain_backends(&self, is_known: impl Fn(&BackendId) -> bool) {
         let mut state = self.lock();
         state.own_slowness.retain(&is_known);
--- a/crates/beamwall-engine-model/src/regression.rs
+++ b/crates/beamwall-engine-model/src/regression.rs
@@ -1,28 +1,29 @@
-//! Weighted least squares kept as sums, so that what several nodes observed can be added.
+//! Weighted least squares over additive sums, so that observations of several nodes can be merged.
 
 use nalgebra::{SMatrix, SVector};
 
-/// Samples after which an older one counts 1/e: long enough for a steady fit, short enough to follow an engine that
-/// changes its speed within some hundred requests.
+/// Number of samples after which an older sample's weight has decayed to 1/e: long enough for a stable fit,
+/// short enough to follow an engine whose speed changes within a few hundred requests.
 const DECAY_SAMPLES: f64 = 400.0;
-/// Weight of the assumption that a coefficient is 0, beside samples whose features are about 1: it decides only
-/// where no sample says anything.
+/// Ridge (L2) penalty relative to samples whose features are about 1: it affects only coefficients that no
+/// sample determines.
 const RELATIVE_RIDGE: f64 = 1e-5;
-/// Most rounds of coordinate descent: lengths of prompts and their squares are so alike that some hundred are usual.
+/// Maximum iterations of coordinate descent. Prompt lengths and their squares are strongly correlated, so a
+/// few hundred iterations are usual.
 const MAX_DESCENT_ITERATIONS: usize = 2_000;
-/// Change in a round, as a part of the largest coefficient, below which the descent has ended.
+/// Change per iteration, relative to the largest coefficient, below which the descent has converged.
 const DESCENT_TOLERANCE: f64 = 1e-5;
 
 /// Sums over samples of `N` features and one outcome, from which coefficients are fitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Regression<const N: usize> {
-    /// Sum of the products of each two features.
+    /// Weighted sums of the pairwise products of features.
     products: SMatrix<f64, N, N>,
-    /// Sum of the products of each feature with the outcome.
+    /// Weighted sums of the products of each feature with the outcome.
     outcomes: SVector<f64, N>,
-    /// Sum of the squares of the outcome.
+    /// Weighted sum of the squared outcomes.
     squares: f64,
-    /// Samples, each counted as what is still remembered of it.
+    /// Effective number of samples after decay.
     samples: f64,
 }
 
@@ -33,13 +34,13 @@
 }
 
 impl<const N: usize> Regression<N> {
-    /// Samples remembered.
+    /// Returns the effective number of samples after decay.
     pub fn samples(&self) -> f64 {
         self.samples
     }
 
-    /// Adds a sample. `robust_weight`, 0 to 1, tells how much it says: one that waited for something else displaces
-    /// as little of what is remembered as it adds. `variance` is what is expected of it.
+    /// Adds a sample. `variance` is its expected variance. `robust_weight`, 0 to 1, downweights an outlier,
+    /// such as a request delayed by an unrelated cause; older samples decay by the same proportion.
     pub fn add(&mut self, features: [f64; N], outcome: f64, variance: f64, robust_weight: f64) {
         self.scale(1.0 - robust_weight / DECAY_SAMPLES);
         let weight = robust_weight / variance;
@@ -50,7 +51,7 @@
         self.samples += robust_weight;
     }
 
-    /// The same sums as if of at most so many samples.
+    /// Scales the sums down to at most the given number of samples.
     pub fn limited_to(mut self, samples: f64) -> Self {
         if self.samples > samples {
             self.scale(samples / self.samples);
@@ -58,7 +59,7 @@
         self
     }
 
-    /// Adds what another node observed.
+    /// Adds the sums of another node.
     pub fn merge(&mut self, other: &Self) {
         self.products += other.products;
         self.outcomes += other.outcomes;
@@ -73,8 +74,8 @@
         self.samples *= factor;
     }
 
-    /// The coefficients, none of them negative, that fit the samples best; `None` without any sample.
-    /// The search begins at `start`, such as the coefficients of the last fit, and ends the sooner the closer they are.
+    /// Fits non-negative coefficients; `None` without any sample. The descent begins at `start`, such as the
+    /// coefficients of the last fit, and converges faster the closer they are.
     pub fn fit(&self, start: [f64; N]) -> Option<Fit<N>> {
         if self.samples < 1.0 {
             return None;
@@ -93,19 +94,19 @@
         })
     }
 
-    /// The sums as a list of numbers, to be told to other nodes.
+    /// Encodes the sums as a list of numbers, to be sent to other nodes.
     pub fn to_numbers(&self) -> Vec<f64> {
         let products = (0..N).flat_map(|row| (row..N).map(move |column| (row, column)));
         let products = products.map(|position| self.products[position]);
         products.chain(self.outcomes.iter().copied()).chain([self.squares, self.samples]).collect()
     }
 
-    /// Numbers in the list of [`Self::to_numbers`].
+    /// Length of the list that [`Self::to_numbers`] returns.
     pub const fn encoded_len() -> usize {
         N * (N + 1) / 2 + N + 2
     }
 
-    /// The sums from such a list; `None` when it has another length or holds what is no number.
+    /// Decodes the sums; `None` if the length is wrong or a number is not finite.
     pub fn from_numbers(numbers: &[f64]) -> Option<Self> {
         if numbers.len() != Self::encoded_len() || numbers.iter().any(|number| !number.is_finite()) {
             return None;
@@ -128,7 +129,7 @@
     }
 }
 
-/// Coordinate descent under the bound that no coefficient is negative: more work never takes less time.
+/// Minimises by coordinate descent with non-negative coefficients: more work never takes less time.
 fn coordinate_descent<const N: usize>(
     normal_matrix: &SMatrix<f64, N, N>,
     outcomes: &SVector<f64, N>,
@@ -152,30 +153,30 @@
     coefficients
 }
 
-/// Fitted coefficients and how sure they are.
+/// Fitted coefficients with their covariance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit<const N: usize> {
-    /// One coefficient a feature.
+    /// One coefficient per feature.
     pub coefficients: [f64; N],
-    /// Mean weighted square of the differences between samples and the fit.
+    /// Weighted mean squared residual.
     variance: f64,
     covariance: SMatrix<f64, N, N>,
 }
 
 impl<const N: usize> Fit<N> {
-    /// The expected outcome.
+    /// Returns the expected outcome.
     pub fn predict(&self, features: [f64; N]) -> f64 {
         self.coefficients.iter().zip(features).map(|(coefficient, feature)| coefficient * feature).sum()
     }
 
-    /// Standard error of the expected outcome: how far it may be from the mean of such requests.
+    /// Returns the standard error of the expected mean outcome.
     pub fn standard_error(&self, features: [f64; N]) -> f64 {
         let features = SVector::from(features);
         let leverage = (features.transpose() * self.covariance * features)[(0, 0)];
         (leverage.max(0.0) * self.variance).sqrt()
     }
 
-    /// Square root of the mean weighted square of the differences between samples and the fit.
+    /// Returns the root of the weighted mean squared residual.
     pub fn deviation(&self) -> f64 {
         self.variance.sqrt()
     }
--- a/crates/beamwall-engine-model/src/slowness.rs
+++ b/crates/beamwall-engine-model/src/slowness.rs
@@ -1,12 +1,13 @@
-//! Which single back ends are slower than their service usually is.
+//! Detects individual back ends that are slower than is usual for their service.
 //!
-//! A back end that has quietly turned slow still answers, so nothing fails. Each time that a request took is
-//! compared with the time expected of any back end of the service. What the nodes observed is added, and older
-//! samples count less and less, so that a back end that was avoided is tried again.
+//! A degraded back end still answers, so no request fails. The time of each request is compared with the
+//! estimate for any back end of the service. Observations of all nodes are added, and older samples decay, so
+//! that a back end that was avoided is tried again.
 //!
-//! The load that this answers: a fleet of hundreds of nodes that each see a back end once a minute. So single samples
-//! count, and each is told to who chooses (`EngineModels::take_unreported`). Of 160 back ends of which 24 fall to a quarter
-//! of their speed, these get less than 4 in 100 requests from 2 s on, and are used again some 8 s after they are well.
+//! The design targets a fleet of hundreds of nodes that each use a back end once a minute. Single samples
+//! therefore count, and each is reported to the node that selects back ends
+//! (`EngineModels::take_unreported`). Of 160 back ends of which 24 drop to a quarter of their speed, these 24
+//! get less than 4 in 100 requests from 2 s on, and are used again some 8 s after they recover.
 
 use std::collections::HashMap;
 use std::ops::AddAssign;
@@ -15,44 +16,45 @@
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
-/// Time after which a sample counts half: an engine that turns slow must be known within a second or two.
+/// Half-life of a sample's weight: a slow engine must be detected within a second or two.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-/// Weight of the assumption that a back end is as fast as the others, in samples.
+/// Weight, in samples, of the prior that a back end is as fast as the others.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// Samples below which nothing is told to all: a single slow answer says little.
+/// Weight below which an observation is not sent to all peers: a single slow answer is weak evidence.
 const MIN_REPORTED_WEIGHT: f64 = 2.0;
-/// Samples beyond which further ones say no more: a back end that is well again is tried after some seconds, however
-/// many samples said that it was slow.
+/// Maximum weight of an observation: a back end that recovers is tried again after some seconds, however many
+/// samples were slow.
 const MAX_WEIGHT: f64 = 4.0;
-/// Samples below which a record has faded.
+/// Weight below which a decayed record is ignored.
 const MIN_COUNTED_WEIGHT: f64 = 0.05;
-/// Logarithm of the factor below which nothing is told: most back ends are as fast as their service.
+/// Mean logarithm of the factor below which an observation is not sent: most back ends are as fast as their
+/// service.
 const MIN_REPORTED_LOGARITHM: f64 = 0.25;
-/// Largest factor by which one sample may differ: a single broken request must not condemn a back end.
+/// Maximum factor of one sample: a single failing request must not exclude a back end.
 const MAX_SAMPLE_FACTOR: f64 = 10.0;
 
-/// What a node observed of one back end.
+/// Slowness of one back end, as observed by one or more nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SlownessObservation {
-    /// Sum of the logarithms of the factors by which requests took longer than expected, each times its weight.
+    /// Weighted sum of the logarithms of the ratio of measured to expected time.
     pub logarithms: f64,
     /// Sum of the weights.
     pub weight: f64,
 }
 
 impl SlownessObservation {
-    /// Whether enough samples say that the back end is not as fast as its service.
+    /// Returns whether enough samples show that the back end's speed differs from its service's.
     pub(crate) fn is_notable(self) -> bool {
         self.weight >= MIN_REPORTED_WEIGHT && self.logarithms.abs() >= MIN_REPORTED_LOGARITHM * self.weight
     }
 
-    /// The same with no more than the most samples that count.
+    /// Scales the observation down to the maximum weight.
     pub(crate) fn capped(self) -> Self {
         let scale = (MAX_WEIGHT / self.weight.max(MAX_WEIGHT)).min(1.0);
         Self { logarithms: self.logarithms * scale, weight: self.weight * scale }
     }
 
-    /// The factor by which the back end takes longer than its service usually does.
+    /// Returns the factor by which the back end is slower than is usual for its service.
     pub fn factor(self) -> f64 {
         (self.logarithms / (self.weight + PRIOR_WEIGHT)).exp()
     }
@@ -65,12 +67,12 @@
     }
 }
 
-/// The factors by which single back ends take longer than their services usually do.
+/// Factors by which individual back ends are slower than is usual for their services.
 #[derive(Debug, Default)]
 pub struct SlownessFactors(HashMap<BackendId, f64>);
 
 impl SlownessFactors {
-    /// The factor of one back end; 1 where nothing was observed of it.
+    /// Returns the factor of one back end; 1 without observations.
     pub fn for_backend(&self, backend: &BackendId) -> f64 {
         self.0.get(backend).copied().unwrap_or(1.0)
     }
@@ -100,14 +102,14 @@
     }
 }
 
-/// What was observed of each back end, by whoever reported it.
+/// Decaying slowness observations of back ends.
 #[derive(Debug, Default)]
 pub struct SlownessTracker {
     records: HashMap<BackendId, Record>,
 }
 
 impl SlownessTracker {
-    /// Notes that a request took `took_ms` where `expected_ms` was expected.
+    /// Records that a request took `took_ms` where `expected_ms` was expected.
     pub fn record_sample(&mut self, backend: &BackendId, took_ms: f64, expected_ms: f64, now: Instant) {
         if took_ms <= 0.0 || expected_ms <= 0.0 {
             return;
@@ -121,7 +123,7 @@
         *record = Record { observed: observed.capped(), updated_at: now };
     }
 
-    /// Replaces what somebody else observed.
+    /// Replaces all records by the observations of another node.
     pub fn set_observations(
         &mut self,
         observations: impl IntoIterator<Item = (BackendId, SlownessObservation)>,
@@ -131,20 +133,20 @@
         self.records = observations.into_iter().map(record).collect();
     }
 
-    /// Adds what somebody else observed.
+    /// Adds an observation of another node.
     pub fn add(&mut self, backend: BackendId, observed: SlownessObservation, now: Instant) {
         let mut sum = self.records.get(&backend).map(|record| record.decayed_at(now)).unwrap_or_default();
         sum += observed;
         self.records.insert(backend, Record { observed: sum.capped(), updated_at: now });
     }
 
-    /// What was observed, as it counts now.
+    /// Returns all observations with their current, decayed weight.
     pub fn all(&self, now: Instant) -> impl Iterator<Item = (&BackendId, SlownessObservation)> {
         let records = self.records.iter().map(move |(backend, record)| (backend, record.decayed_at(now)));
         records.filter(|(_, observed)| observed.weight >= MIN_COUNTED_WEIGHT)
     }
 
-    /// Takes out what was observed of back ends that are `among` those asked for.
+    /// Removes and returns the observations of back ends that satisfy `among`.
     pub fn take(
         &mut self,
         among: impl Fn(&BackendId) -> bool,
@@ -154,7 +156,7 @@
         taken.map(|(backend, record)| (backend, record.decayed_at(now))).collect()
     }
 
-    /// Forgets back ends that are gone.
+    /// Drops observations of back ends that no longer exist.
     pub fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
         self.records.retain(|backend, _| is_known(backend));
     }
--- a/crates/beamwall-engine-model/src/workload.rs
+++ b/crates/beamwall-engine-model/src/workload.rs
@@ -1,27 +1,27 @@
-//! What callers ask of a service in a second.
+//! Load of a service per second.
 
 use std::ops::{Add, AddAssign, Div, Mul};
 
-/// What callers ask of a service in a second.
+/// Load of a service per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Workload {
-    /// Requests.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt tokens that must be read.
+    /// Prompt tokens to prefill per second.
     pub tokens: f64,
-    /// Pairs of such a token with one before it.
+    /// Pairs of such a token with an earlier one, per second.
     pub pairs: f64,
-    /// Events that are streamed.
+    /// Streamed events per second.
     pub events: f64,
 }
 
 impl Workload {
-    /// The mean of this with `other`, which counts by `weight`, 0 to 1.
+    /// Returns the weighted mean with `other`, whose weight is `weight`, 0 to 1.
     pub fn weighted_mean(self, other: Self, weight: f64) -> Self {
         self * (1.0 - weight) + other * weight
     }
 
-    /// The larger of both in each respect.
+    /// Returns the element-wise maximum.
     pub fn max(self, other: Self) -> Self {
         Self {
             requests: self.requests.max(other.requests),
--- a/crates/beamwall-engine-model/tests/learning.rs
+++ b/crates/beamwall-engine-model/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What is learnt from random requests, against engines whose speeds are known.
+//! Estimates learnt from random requests to simulated engines of known speed.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use support::{RequestGenerator, SimulatedEngine};
 use tokio::time::Instant;
 
-/// Engines a fifth to five times as fast as today's, with other slots.
+/// Speed relative to the reference engine, a fifth to five times, and the number of slots.
 const SPEEDS: [(f64, u32); 5] = [(0.2, 8), (0.5, 128), (1.0, 24), (2.5, 48), (5.0, 16)];
-/// RequestGenerator after which the model must be right.
+/// Requests after which the estimates must be accurate.
 const REQUESTS: usize = 200;
-/// How far a learnt figure may be off, as a part of the engine.
+/// Tolerated relative error of an estimate.
 const TOLERANCE: f64 = 0.15;
 
-/// Observes random requests as a node does, refitting now and then.
+/// Records random requests as a node does, refitting every ten requests.
 fn observe(
     statistics: &mut ServiceStatistics,
     simulated: &SimulatedEngine,
@@ -38,10 +38,10 @@
 }
 
 fn assert_close(what: &str, estimate: Option<f64>, expected: f64, simulated: &SimulatedEngine) {
-    let estimate = estimate.unwrap_or_else(|| panic!("{what} is not known of {simulated:?}"));
+    let estimate = estimate.unwrap_or_else(|| panic!("no estimate of {what} for {simulated:?}"));
     assert!(
         (estimate / expected - 1.0).abs() < TOLERANCE,
-        "{what}: estimate {estimate:.2}, expected {expected:.2} of {simulated:?}"
+        "{what}: estimate {estimate:.2}, expected {expected:.2} for {simulated:?}"
     );
 }
 
@@ -55,7 +55,7 @@
     let waits =
         FirstEventInputs { prefill: PrefillWork::of_uncached(0, 1_000), tokens_ahead: 8_000, running: 1 };
     assert_close(
-        "time behind others",
+        "time to the first event behind other prompts",
         estimates.first_event_ms(waits),
         simulated.first_event_ms(waits),
         simulated,
@@ -91,14 +91,14 @@
             &mut RequestGenerator::new(u64::from(node) + 40, 24),
             REQUESTS / 4,
         );
-        let decoded = ServiceStatistics::from_numbers(&statistics.to_numbers()).expect("the sums");
+        let decoded = ServiceStatistics::from_numbers(&statistics.to_numbers()).expect("valid encoded sums");
         assert_eq!(decoded, statistics);
         new_node.set_peer_statistics(&node, [(service.clone(), decoded)].into());
     }
     assert!(!new_node.estimates(&service).is_known());
     assert_eq!(new_node.refresh(Instant::now()), std::slice::from_ref(&service));
     assert_estimates_match(&new_node.estimates(&service), &simulated);
-    assert!(new_node.refresh(Instant::now()).is_empty(), "it is decoded once");
+    assert!(new_node.refresh(Instant::now()).is_empty(), "a known service is returned only once");
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let mut requests = RequestGenerator::new(9, 24);
     let engines: Vec<BackendId> = (0..10).map(|number| BackendId::new(format!("i-{number}"))).collect();
     let start = Instant::now();
-    // Fifty requests a second: each engine gets five.
+    // 50 requests a second: 5 to each engine.
     let at = |number: usize| start + std::time::Duration::from_millis(20 * number as u64);
     for number in 0..400 {
         let engine = &engines[number % engines.len()];
--- a/crates/beamwall-engine-model/tests/occupancy.rs
+++ b/crates/beamwall-engine-model/tests/occupancy.rs
@@ -1,4 +1,4 @@
-//! What one back end does under a workload.
+//! Occupancy of one back end under a workload.
 
 mod support;
 
@@ -34,8 +34,8 @@
             events: f64::from(random.int_in_range(0..=20_000_u32)?),
         };
         let back_ends = f64::from(random.int_in_range(1..=50_u32)?);
-        let few = estimates.occupancy(work / back_ends).expect("known");
-        let more = estimates.occupancy(work / (back_ends + 1.0)).expect("known");
+        let few = estimates.occupancy(work / back_ends).expect("enough samples");
+        let more = estimates.occupancy(work / (back_ends + 1.0)).expect("enough samples");
         assert!(more.prefill_share <= few.prefill_share);
         assert!(more.running <= few.running);
         assert!(more.event_gap_ms <= few.event_gap_ms);
@@ -47,13 +47,14 @@
 fn occupancy_of_a_known_workload() {
     let simulated = SimulatedEngine::of_speed(1.0, 24);
     let estimates = learnt(&simulated);
-    // 5 requests of 6,000 tokens and 50 events a second: 100 ms of reading each and some 1.2 s of events.
+    // 5 requests of 6,000 tokens and 50 events each per second: 100 ms of prefill and about 1.2 s of events
+    // per request.
     let work = Workload { requests: 5.0, tokens: 30_000.0, pairs: 0.0, events: 250.0 };
-    let occupancy = estimates.occupancy(work).expect("known");
+    let occupancy = estimates.occupancy(work).expect("enough samples");
     assert!((0.45..0.55).contains(&occupancy.prefill_share), "{occupancy:?}");
     assert!((5.5..7.5).contains(&occupancy.running), "{occupancy:?}");
     assert!((21.0..24.0).contains(&occupancy.event_gap_ms), "{occupancy:?}");
-    assert!(occupancy.first_event_ms > 200.0, "the tail waits behind others: {occupancy:?}");
-    let too_much = estimates.occupancy(Workload { tokens: 70_000.0, ..work }).expect("known");
+    assert!(occupancy.first_event_ms > 200.0, "the 95th percentile includes queueing: {occupancy:?}");
+    let too_much = estimates.occupancy(Workload { tokens: 70_000.0, ..work }).expect("enough samples");
     assert!(too_much.first_event_ms.is_infinite());
 }
--- a/crates/beamwall-engine-model/tests/slowness.rs
+++ b/crates/beamwall-engine-model/tests/slowness.rs
@@ -1,4 +1,4 @@
-//! Single back ends that turn slow, as others told of them.
+//! Slowness observations of individual back ends that peers send.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
-/// What was told had to stay above the threshold of telling, so most of it did not count at its receivers.
+/// Guards against received observations being dropped too early: they counted only while above the threshold
+/// for sending, so most had no effect at their receivers.
 #[test]
 fn peer_observation_of_a_slow_back_end_counts_until_it_decays() {
     let models: EngineModels<u32> = EngineModels::default();
@@ -19,7 +20,7 @@
     assert!(models.slowness(&slow) < 1.1, "{}", models.slowness(&slow));
 }
 
-/// One sample each of several nodes is as good as several of one.
+/// Single samples from several nodes have the same effect as several samples from one node.
 #[test]
 fn single_samples_of_many_peers_add_up() {
     let models: EngineModels<u32> = EngineModels::default();
--- a/crates/beamwall-engine-model/tests/support/mod.rs
+++ b/crates/beamwall-engine-model/tests/support/mod.rs
@@ -1,28 +1,28 @@
-//! An engine whose speeds are known, with random requests.
+//! A simulated engine of known speed, and a generator of random requests.
 
 use beamwall_engine_model::{FirstEventInputs, PrefillWork};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// What an engine truly does.
+/// Timing parameters of a simulated engine.
 #[derive(Debug, Clone, Copy)]
 pub struct SimulatedEngine {
-    /// Milliseconds before anything is read.
+    /// Fixed overhead before prefill, in milliseconds.
     pub base_ms: f64,
-    /// Prompt tokens that are read in a millisecond.
+    /// Prefill rate in tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// Milliseconds for a million pairs of tokens.
+    /// Milliseconds per million token pairs.
     pub pairs_ms_per_million: f64,
     /// Milliseconds that each running request adds to the time between two events.
     pub gap_ms_each: f64,
-    /// Milliseconds between two events where nothing else runs.
+    /// Milliseconds between two events with no other request running.
     pub gap_ms: f64,
-    /// RequestGenerator at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
 impl SimulatedEngine {
-    /// An engine of about today's speed, `factor` times as fast.
+    /// Creates an engine `factor` times as fast as the reference engine.
     pub fn of_speed(factor: f64, slots: u32) -> Self {
         Self {
             base_ms: 20.0 / factor,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Random requests, the same for the same seed.
+/// Generator of random requests, deterministic for a seed.
 pub struct RequestGenerator {
     random: StdRng,
     slots: u32,
@@ -63,7 +63,7 @@
         self.random.random_range(0..self.slots)
     }
 
-    /// A request whose prompt has 200 to 20,000 tokens, most of them few; some wait behind others.
+    /// Returns a request with a prompt of 200 to 20,000 tokens, mostly short; some wait behind other prompts.
     pub fn first_event(&mut self) -> FirstEventInputs {
         let unread = (200.0 * 100f64.powf(self.random.random::<f64>())) as u64;
         let kept = if self.random.random_bool(0.5) { unread / 2 } else { 0 };
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A time as measured: up to a tenth off, and one in twenty several times as long.
+    /// Adds measurement noise: up to a tenth either way, and one time in twenty is several times as long.
     pub fn with_noise(&mut self, exact_ms: f64) -> f64 {
         let usual = exact_ms * self.random.random_range(0.9..1.1);
         if self.random.random_bool(0.05) { usual * self.random.random_range(2.0..8.0) } else { usual }
