--- a/crates/beamwall-duties/src/checkpoint.rs
+++ b/crates/beamwall-duties/src/checkpoint.rs
@@ -1,7 +1,8 @@
-//! What the holder of the duties keeps for whoever holds them next.
+//! State that the duties lease holder saves for its successor.
 //!
-//! All that nodes know of open windows and of the demand lives in their memory, and goes when all of them are killed at once. So the
-//! holder writes it down with each renewal of its lease, and a successor or its own next life goes on from there.
+//! Nodes keep the counts of open windows and the demand only in memory and lose them when all nodes are
+//! killed at once. The lease holder therefore saves them with each renewal of its lease, and a successor or
+//! the restarted holder resumes from there.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +13,16 @@
 
 use crate::orders::SavedOrder;
 
-/// What the holder of the duties keeps.
+/// Checkpoint of the duties lease holder.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DutyCheckpoint {
-    /// The oldest window of usage that is not fixed yet; `None` while that is not known.
+    /// The oldest usage window whose counts are not fixed in the store; `None` while it is unknown.
     pub first_open_window: Option<u64>,
-    /// The counts of open windows.
+    /// Counts of open windows.
     pub usage: CarriedUsage,
-    /// How many back ends each service needed as of the last look.
+    /// Number of back ends that each service needed at the last evaluation.
     pub needs: BTreeMap<ServiceName, Needed>,
-    /// What was ordered, and what could not be had.
+    /// Capacity orders that were placed, and those for which no capacity was available.
     pub orders: Vec<SavedOrder>,
 }
--- a/crates/beamwall-duties/src/lib.rs
+++ b/crates/beamwall-duties/src/lib.rs
@@ -1,5 +1,6 @@
-//! Rules of the duties that one node does for all, without a network: which window of usage is reported next
-//! ([`usage_windows`]), what was ordered of back ends ([`orders`]), and what the holder of the duties keeps for whoever holds them next ([`checkpoint`]).
+//! Rules of the cluster-wide duties that one node performs, without I/O: which usage window is reported next
+//! ([`usage_windows`]), which capacity orders were placed ([`orders`]), and what the duties lease holder
+//! saves for its successor ([`checkpoint`]).
 
 pub mod checkpoint;
 pub mod orders;
--- a/crates/beamwall-duties/src/orders.rs
+++ b/crates/beamwall-duties/src/orders.rs
@@ -1,7 +1,8 @@
-//! What was ordered of back ends and what came of it, in one tenure and on to the next.
+//! Capacity orders of one term and their results, carried over to the next term.
 //!
-//! A holder that did not know what its predecessor had ordered would order anew by what it finds: lasting back ends that stand in for
-//! reclaimable ones and are still booting would be given back, and ordered once more when it is told that no reclaimable ones can be had.
+//! A new lease holder that did not know its predecessor's orders would compute orders from the running back
+//! ends alone: it would release on-demand back ends that substitute for reclaimable ones and are still
+//! booting, and order them again once it learns that no reclaimable ones are available.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,29 +12,29 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Pause after an order that could not be carried out.
+/// Delay before an order that failed is attempted again.
 const RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// An order as kept for the next holder.
+/// An order as saved for the next lease holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedOrder {
-    /// What it is about.
+    /// Service, zone and kind of back end of the order.
     pub key: OrderKey,
-    /// How many were ordered last; `None` where no order was carried out.
+    /// The last ordered number of back ends; `None` if no order was placed.
     pub wanted: Option<u32>,
-    /// Whether none could be had at the last try.
+    /// Whether no capacity was available at the last attempt.
     pub is_exhausted: bool,
 }
 
-/// An order whose last try was not taken.
+/// An order whose last attempt failed.
 #[derive(Debug, Clone, Copy)]
 struct FailedOrder {
     failed_at: Instant,
-    /// Whether none could be had; otherwise no answer came.
+    /// Whether no capacity was available; otherwise the request got no answer.
     is_exhausted: bool,
 }
 
-/// The orders of one tenure.
+/// Capacity orders of one term.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
     placed: BTreeMap<OrderKey, GivenOrder>,
@@ -41,7 +42,8 @@
 }
 
 impl OrderTracker {
-    /// Goes on from what the last holder kept. Its orders count as given now, since it is not known when they were.
+    /// Restores the orders of the previous lease holder. They count as placed now, since their time is not
+    /// saved.
     pub fn restore(saved: Vec<SavedOrder>, now: Instant) -> Self {
         let mut tracker = Self::default();
         for SavedOrder { key, wanted, is_exhausted } in saved {
@@ -53,7 +55,7 @@
         tracker
     }
 
-    /// What the next holder goes on from.
+    /// Returns the orders to save for the next lease holder.
     pub fn to_saved(&self) -> Vec<SavedOrder> {
         let exhausted = self.failed.iter().filter(|(_, failure)| failure.is_exhausted).map(|(key, _)| key);
         let mut keys: Vec<&OrderKey> = self.placed.keys().chain(exhausted).collect();
@@ -67,40 +69,40 @@
         keys.into_iter().map(saved).collect()
     }
 
-    /// The orders that were given.
+    /// Returns the orders that were placed.
     pub fn placed(&self) -> &BTreeMap<OrderKey, GivenOrder> {
         &self.placed
     }
 
-    /// The same, to note what came of them.
+    /// Returns the placed orders for updating with their results.
     pub fn placed_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
         &mut self.placed
     }
 
-    /// How many were ordered last.
+    /// Returns the last ordered number of back ends.
     pub fn last_ordered(&self, key: &OrderKey) -> Option<u32> {
         self.placed.get(key).map(|order| order.wanted)
     }
 
-    /// Whether none could be had at the last try.
+    /// Returns whether no capacity was available at the last attempt.
     pub fn is_exhausted(&self, key: &OrderKey) -> bool {
         self.failed.get(key).is_some_and(|failure| failure.is_exhausted)
     }
 
-    /// Whether an order may be tried: it was not refused a moment ago.
+    /// Returns whether an order may be attempted: it has not failed within the retry delay.
     pub fn may_attempt(&self, key: &OrderKey, now: Instant) -> bool {
         let elapsed_since = |failure: &FailedOrder| now.saturating_duration_since(failure.failed_at);
         self.failed.get(key).is_none_or(|failure| elapsed_since(failure) >= RETRY_DELAY)
     }
 
-    /// Notes that an order was carried out.
+    /// Records that an order was placed.
     pub fn record_placed(&mut self, order: &CapacityOrder, now: Instant) {
         let key = OrderKey::of(order);
         self.failed.remove(&key);
         self.placed.insert(key, GivenOrder::new(order.wanted, now));
     }
 
-    /// Notes that an order was not carried out; returns whether it is news that none can be had.
+    /// Records that an order failed. Returns whether it failed for lack of capacity and the last attempt did not.
     pub fn record_failure(&mut self, order: &CapacityOrder, is_exhausted: bool, now: Instant) -> bool {
         let failure = FailedOrder { failed_at: now, is_exhausted };
         let before = self.failed.insert(OrderKey::of(order), failure);
--- a/crates/beamwall-duties/src/usage_windows.rs
+++ b/crates/beamwall-duties/src/usage_windows.rs
@@ -1,57 +1,59 @@
-//! Which window of usage is reported next, and when.
+//! Selects the usage window to report next and the time to report it.
 
 use std::time::Duration;
 
-/// Times of reports.
+/// Timing of usage reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsageTiming {
     /// Length of a window.
     pub window: Duration,
-    /// Time after a window's end until all nodes have told their counts.
+    /// Delay after a window's end until all nodes have sent their counts.
     pub settle_delay: Duration,
-    /// Time after a window's end for which counts of silent nodes are waited for: they may be cut off and come back.
+    /// Time after a window's end to wait for counts of silent nodes: they may be partitioned and reconnect.
     pub silent_node_wait: Duration,
-    /// Time after a window's end after which it is not reported any more.
+    /// Time after a window's end from which it is no longer reported.
     pub max_age: Duration,
 }
 
-/// The time of day as windows.
+/// Wall-clock time in windows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowClock {
-    /// The window of now.
+    /// Index of the current window.
     pub current: u64,
-    /// How much of it has elapsed.
+    /// Time since the current window began.
     pub elapsed: Duration,
 }
 
 impl WindowClock {
-    /// Time since a window's end; `None` before it.
+    /// Returns the time since a window's end; `None` before it.
     pub fn time_since_end(&self, window: u64, length: Duration) -> Option<Duration> {
         let full_windows = u32::try_from(self.current.checked_sub(window + 1)?).unwrap_or(u32::MAX);
         Some(self.elapsed + length.saturating_mul(full_windows))
     }
 }
 
-/// How far the windows are done.
+/// Progress of usage reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowProgress {
-    /// The last window that this tenure reported.
+    /// The last window reported in this term.
     pub reported_through: Option<u64>,
     /// The last window whose counts are fixed in the store.
     pub newest_fixed: Option<u64>,
-    /// The window with which reports begin where none is fixed: an earlier holder's oldest open one, or that of the start.
+    /// The first window to report when none is fixed: the oldest open window of an earlier lease holder, or
+    /// the window of the process start.
     pub first: u64,
 }
 
 impl WindowProgress {
-    /// The oldest window whose counts are not fixed: from here on they must not be lost.
+    /// Returns the oldest window whose counts are not fixed: counts from there on must not be lost.
     pub fn first_open(&self) -> u64 {
         let last_done = self.reported_through.max(self.newest_fixed);
         last_done.map_or(self.first, |window| window + 1)
     }
 
-    /// The next window to report if it is due. A new holder repeats the last window that was fixed: its predecessor may not have
-    /// reported it. `is_complete` tells whether no node is silent that may still count.
+    /// Returns the next window to report if it is due. A new lease holder reports the last fixed window
+    /// again, because its predecessor may have failed before reporting it. `is_complete` tells whether no
+    /// silent node may still have counts.
     pub fn due(
         &self,
         clock: &WindowClock,
--- a/crates/beamwall-duties/tests/checkpoint.rs
+++ b/crates/beamwall-duties/tests/checkpoint.rs
@@ -1,4 +1,4 @@
-//! A checkpoint rides on the renewal of a lease, so it must stay small however large the deployment.
+//! A checkpoint is written with each lease renewal, so it must stay small however large the deployment.
 
 use beamwall_duties::{DutyCheckpoint, SavedOrder};
 use beamwall_gateway::scaling::OrderKey;
@@ -6,12 +6,12 @@
 use beamwall_gateway::usage::{CarriedUsage, WindowCounts};
 use beamwall_peer::compressed;
 
-/// Tenants, gateways and open windows of the planned size.
+/// Number of tenants, gateway incarnations, open windows and zones at the planned size.
 const TENANTS: u64 = 300;
 const GATEWAY_INCARNATIONS: u32 = 2_700;
 const WINDOWS: u64 = 3;
 const ZONES: u32 = 25;
-/// The platform bounds an object; what is larger is not kept.
+/// Object size limit of the platform's store; a larger checkpoint is not saved.
 const LIMIT_BYTES: usize = 256 << 10;
 
 fn checkpoint() -> DutyCheckpoint {
@@ -48,16 +48,16 @@
 
 #[test]
 fn a_checkpoint_of_the_planned_size_fits_and_round_trips() {
-    let encoded = compressed::encode(&checkpoint()).expect("it is written");
-    println!("{} bytes, twice as many as text", encoded.len());
+    let encoded = compressed::encode(&checkpoint()).expect("checkpoint encodes");
+    println!("checkpoint: {} bytes, twice that as text", encoded.len());
     assert!(encoded.len() * 2 <= LIMIT_BYTES);
-    assert_eq!(compressed::decode::<DutyCheckpoint>(&encoded).expect("it is read"), checkpoint());
+    assert_eq!(compressed::decode::<DutyCheckpoint>(&encoded).expect("checkpoint decodes"), checkpoint());
 }
 
-/// Builds may differ: what a checkpoint does not tell is not known.
+/// Builds may differ: fields missing from a checkpoint take their defaults, and unknown fields are ignored.
 #[test]
 fn a_checkpoint_of_another_build_is_read_with_defaults() {
     let read: DutyCheckpoint =
-        serde_json::from_str(r#"{"first_open_window": 7, "later": [1]}"#).expect("it is read");
+        serde_json::from_str(r#"{"first_open_window": 7, "later": [1]}"#).expect("checkpoint decodes");
     assert_eq!(read, DutyCheckpoint { first_open_window: Some(7), ..DutyCheckpoint::default() });
 }
--- a/crates/beamwall-duties/tests/orders.rs
+++ b/crates/beamwall-duties/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Who takes the duty of ordering over goes on from what was ordered, as if it had ordered it itself.
+//! A new duties lease holder continues from its predecessor's capacity orders as if it had placed them
+//! itself.
 
 use std::time::Duration;
 
@@ -27,7 +28,8 @@
     OrderKey::new(&"model".into(), &zone.into(), reclaimable)
 }
 
-/// What is due by a tracker, where zone `a` has lost its reclaimable back ends and `usable` of the lasting ones serve in each zone.
+/// Returns the due orders. Zone `a` has lost its reclaimable back ends, and each zone has `usable` usable
+/// on-demand back ends.
 fn due(tracker: &mut OrderTracker, usable: u32, now: Instant) -> Vec<CapacityOrder> {
     let service: ServiceName = "model".into();
     let supply = |zone: &&str| ZoneSupply {
@@ -46,7 +48,8 @@
     due.into_iter().filter(|order| tracker.may_attempt(&OrderKey::of(order), now)).collect()
 }
 
-/// A holder that has been told that zone `a` gets none, and has ordered lasting ones in their place.
+/// Returns the tracker of a lease holder that got no reclaimable back ends in zone `a` and ordered on-demand
+/// ones as substitutes.
 fn tracker_with_substitutes(now: Instant) -> OrderTracker {
     let mut tracker = OrderTracker::default();
     for _ in 0..2 {
@@ -65,15 +68,16 @@
     tracker
 }
 
-/// Guards against a new holder that gives back lasting back ends which its predecessor ordered and which are still booting.
+/// Guards against a new lease holder that releases on-demand back ends which its predecessor ordered and
+/// which are still booting.
 #[test]
 fn a_new_holder_does_not_repeat_recent_orders() {
     let now = Instant::now();
     let before = tracker_with_substitutes(now);
     let later = now + SECOND;
-    assert!(!due(&mut OrderTracker::default(), 0, later).is_empty(), "who knows nothing orders");
+    assert!(!due(&mut OrderTracker::default(), 0, later).is_empty(), "an empty tracker places orders");
     let mut tracker = OrderTracker::restore(before.to_saved(), later);
-    assert_eq!(due(&mut tracker, 0, later), [], "all of it is under way");
+    assert_eq!(due(&mut tracker, 0, later), [], "all orders are still in progress");
     assert_eq!(tracker.to_saved(), before.to_saved());
 }
 
--- a/crates/beamwall-duties/tests/usage_windows.rs
+++ b/crates/beamwall-duties/tests/usage_windows.rs
@@ -1,4 +1,4 @@
-//! Every window is reported, whoever holds the duty when it is due.
+//! Every window is reported, whichever node holds the duties lease when it is due.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 };
 
 fn at(current: u64, elapsed_s: u64) -> WindowClock {
-    WindowClock { current, elapsed: SECOND * u32::try_from(elapsed_s).expect("small") }
+    WindowClock { current, elapsed: SECOND * u32::try_from(elapsed_s).expect("seconds fit into u32") }
 }
 
 fn progress(first: u64) -> WindowProgress {
@@ -26,14 +26,15 @@
 
 #[test]
 fn a_window_is_due_when_all_nodes_have_sent_their_counts() {
-    assert_eq!(due(progress(40), at(40, 5), true), None, "it has not ended");
-    assert_eq!(due(progress(40), at(41, 0), true), None, "counts are under way");
+    assert_eq!(due(progress(40), at(40, 5), true), None, "the window has not ended");
+    assert_eq!(due(progress(40), at(41, 0), true), None, "counts are still arriving");
     assert_eq!(due(progress(40), at(41, 1), true), Some(40));
-    assert_eq!(due(progress(40), at(41, 1), false), None, "somebody silent may still count");
-    assert_eq!(due(progress(40), at(42, 2), false), Some(40), "not for ever");
+    assert_eq!(due(progress(40), at(41, 1), false), None, "a silent node may still have counts");
+    assert_eq!(due(progress(40), at(42, 2), false), Some(40), "the wait for silent nodes is bounded");
 }
 
-/// Guards against a window that nobody reports, because each life began with the window of its own start.
+/// Guards against a window that is never reported because each lease holder began with the window of its own
+/// start.
 #[test]
 fn a_window_left_open_by_the_previous_holder_is_due() {
     let taken_over = WindowProgress { first: 39, ..progress(41) };
@@ -45,7 +46,7 @@
 #[test]
 fn a_successor_repeats_the_last_fixed_window_and_goes_on() {
     let fixed = WindowProgress { newest_fixed: Some(40), ..progress(44) };
-    assert_eq!(due(fixed, at(44, 0), false), Some(40), "its counts are fixed");
+    assert_eq!(due(fixed, at(44, 0), false), Some(40), "fixed counts need no further wait");
     assert_eq!(fixed.first_open(), 41);
     let repeated = WindowProgress { reported_through: Some(40), ..fixed };
     assert_eq!(due(repeated, at(44, 0), true), Some(41));
