--- a/crates/beamwall-quarantine/src/admission.rs
+++ b/crates/beamwall-quarantine/src/admission.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// As its route or service allows.
-    Usual,
+    Normal,
     /// To one back end.
     Trial,
 }
--- a/crates/beamwall-quarantine/src/evidence.rs
+++ b/crates/beamwall-quarantine/src/evidence.rs
@@ -12,7 +12,7 @@
 
 /// A back end that ended without having announced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ending {
+pub struct Termination {
     /// The back end, which is one life of an engine.
     pub backend: BackendId,
     /// When it ended.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Back ends that ended.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<Termination>,
     /// Requests that ran to an end.
     pub completions: Vec<Completion>,
     /// Trials.
@@ -54,7 +54,7 @@
 
 impl Evidence {
     /// All that is known of some requests.
-    pub fn of<'a>(suspects: impl Iterator<Item = (&'a Fingerprint, &'a Suspect)>) -> Self {
+    pub fn from_suspects<'a>(suspects: impl Iterator<Item = (&'a Fingerprint, &'a Suspect)>) -> Self {
         let mut endings: BTreeMap<(&BackendId, u64), Vec<Fingerprint>> = BTreeMap::new();
         let mut evidence = Self::default();
         for (request, suspect) in suspects {
@@ -69,7 +69,7 @@
                 evidence.trials.push(trial);
             }
         }
-        let ending = |((backend, at_ms), open): ((&BackendId, u64), _)| Ending {
+        let ending = |((backend, at_ms), open): ((&BackendId, u64), _)| Termination {
             backend: backend.clone(),
             at_ms,
             open,
--- a/crates/beamwall-quarantine/src/fingerprint.rs
+++ b/crates/beamwall-quarantine/src/fingerprint.rs
@@ -7,7 +7,7 @@
 /// Length of a fingerprint in bytes. With 128 bits nobody finds a second request to one that is given.
 pub const FINGERPRINT_BYTES: usize = 16;
 /// Bytes of a fingerprint that logs show.
-const SHOWN_BYTES: usize = 8;
+const DISPLAYED_BYTES: usize = 8;
 
 /// Identifies a request by its caller, host, path with query, and body; other headers don't count.
 ///
@@ -41,7 +41,7 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.to_hex()[..2 * SHOWN_BYTES])
+        formatter.write_str(&self.to_hex()[..2 * DISPLAYED_BYTES])
     }
 }
 
--- a/crates/beamwall-quarantine/src/verdict.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -18,12 +18,12 @@
 use beamwall_model::{BackendId, to_ms};
 
 use crate::fingerprint::Fingerprint;
+use crate::limits::{TERMINATIONS_UNTIL_CLEAR, TERMINATIONS_UNTIL_HELD, TRIAL_DELAYS, TRIAL_DELAYS_IN_DOUBT};
 use crate::suspect::Suspect;
-use crate::terms::{ENDINGS_UNTIL_CLEAR, ENDINGS_UNTIL_HELD, TRIAL_PAUSES, TRIAL_PAUSES_IN_DOUBT};
 
 /// Why and how long a request is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HoldState {
     /// Ends of back ends that tell against it.
     pub endings: usize,
     /// Whether another request, or another reason, may have ended all of them.
@@ -39,21 +39,21 @@
     request: Fingerprint,
     suspect: &'a Suspect,
     endings: HashSet<&'a BackendId>,
-    incriminated_ms: u64,
+    threshold_reached_ms: u64,
 }
 
 impl Candidate<'_> {
     /// Whether it explains ends at which `other` was, too.
-    fn is_stronger(&self, other: &Candidate<'_>) -> bool {
+    fn takes_precedence_over(&self, other: &Candidate<'_>) -> bool {
         match self.endings.len().cmp(&other.endings.len()) {
-            Ordering::Greater => self.incriminated_ms <= other.incriminated_ms,
-            Ordering::Equal => self.incriminated_ms < other.incriminated_ms,
+            Ordering::Greater => self.threshold_reached_ms <= other.threshold_reached_ms,
+            Ordering::Equal => self.threshold_reached_ms < other.threshold_reached_ms,
             Ordering::Less => false,
         }
     }
 
     /// The number of its ends at which none of the others was.
-    fn endings_alone(&self, others: &[&Candidate<'_>]) -> usize {
+    fn unshared_terminations(&self, others: &[&Candidate<'_>]) -> usize {
         let is_shared = |backend: &BackendId| {
             others.iter().any(|other| other.request != self.request && other.endings.contains(backend))
         };
@@ -61,66 +61,66 @@
     }
 
     fn next_trial_ms(&self, is_in_doubt: bool) -> Option<u64> {
-        let pauses = if is_in_doubt { TRIAL_PAUSES_IN_DOUBT } else { TRIAL_PAUSES };
+        let pauses = if is_in_doubt { TRIAL_DELAYS_IN_DOUBT } else { TRIAL_DELAYS };
         let pause = pauses.get(self.suspect.trials as usize)?;
-        Some(self.suspect.latest_ms().saturating_add(to_ms(*pause)))
+        Some(self.suspect.last_activity_ms().saturating_add(to_ms(*pause)))
     }
 }
 
 /// The requests that are held; `ended` are further back ends that ended, of which no request is known.
-pub fn held(
+pub fn held_requests(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     ended: &BTreeMap<BackendId, u64>,
-) -> HashMap<Fingerprint, Held> {
-    let times = times_of_ends(suspects);
+) -> HashMap<Fingerprint, HoldState> {
+    let times = termination_times(suspects);
     let to_candidate = |(request, suspect)| candidate(request, suspect, &times);
     let mut candidates: Vec<Candidate<'_>> = suspects.iter().filter_map(to_candidate).collect();
     // The strongest first, so that who is explained away explains nothing.
-    candidates.sort_by_key(|one| (Reverse(one.endings.len()), one.incriminated_ms, one.request));
-    let mut convicted: Vec<&Candidate<'_>> = Vec::new();
+    candidates.sort_by_key(|one| (Reverse(one.endings.len()), one.threshold_reached_ms, one.request));
+    let mut confirmed: Vec<&Candidate<'_>> = Vec::new();
     for candidate in &candidates {
         let explains = |backend: &BackendId, other: &&Candidate<'_>| {
-            other.is_stronger(candidate) && other.endings.contains(backend)
+            other.takes_precedence_over(candidate) && other.endings.contains(backend)
         };
-        let is_own = |backend: &&&BackendId| !convicted.iter().any(|other| explains(backend, other));
-        if candidate.endings.iter().filter(is_own).count() >= ENDINGS_UNTIL_HELD {
-            convicted.push(candidate);
+        let is_own = |backend: &&&BackendId| !confirmed.iter().any(|other| explains(backend, other));
+        if candidate.endings.iter().filter(is_own).count() >= TERMINATIONS_UNTIL_HELD {
+            confirmed.push(candidate);
         }
     }
-    let convicted = without_explained(&convicted);
-    let others_end_too = has_more_ends_unexplained(suspects, ended, &convicted);
-    convicted.iter().map(|one| (one.request, describe(one, &convicted, others_end_too))).collect()
+    let confirmed = without_explained_by_others(&confirmed);
+    let has_other_causes = most_terminations_unexplained(suspects, ended, &confirmed);
+    confirmed.iter().map(|one| (one.request, hold_state(one, &confirmed, has_other_causes))).collect()
 }
 
 /// The convicted but for those whose every end is explained by requests that were at more ends, and clearly end back ends themselves.
-fn without_explained<'a>(convicted: &[&'a Candidate<'a>]) -> Vec<&'a Candidate<'a>> {
-    let is_clear = |one: &&&Candidate<'_>| one.endings_alone(convicted) >= ENDINGS_UNTIL_CLEAR;
-    let clear: Vec<&&Candidate<'_>> = convicted.iter().filter(is_clear).collect();
+fn without_explained_by_others<'a>(confirmed: &[&'a Candidate<'a>]) -> Vec<&'a Candidate<'a>> {
+    let is_clear = |one: &&&Candidate<'_>| one.unshared_terminations(confirmed) >= TERMINATIONS_UNTIL_CLEAR;
+    let clear: Vec<&&Candidate<'_>> = confirmed.iter().filter(is_clear).collect();
     let is_explained = |one: &Candidate<'_>| {
         let stronger = || clear.iter().filter(|other| other.endings.len() > one.endings.len());
         one.endings.iter().all(|backend| stronger().any(|other| other.endings.contains(backend)))
     };
-    convicted.iter().copied().filter(|one| !is_explained(one)).collect()
+    confirmed.iter().copied().filter(|one| !is_explained(one)).collect()
 }
 
 /// Whether most of the ends in the book happened without any of the convicted requests, so that engines end for another reason.
-fn has_more_ends_unexplained(
+fn most_terminations_unexplained(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     ended: &BTreeMap<BackendId, u64>,
-    convicted: &[&Candidate<'_>],
+    confirmed: &[&Candidate<'_>],
 ) -> bool {
-    if convicted.is_empty() {
+    if confirmed.is_empty() {
         return false;
     }
     let under_suspects = suspects.values().flat_map(|suspect| suspect.endings.keys());
     let ended: HashSet<&BackendId> = under_suspects.chain(ended.keys()).collect();
-    let is_explained = |backend: &&&BackendId| convicted.iter().any(|one| one.endings.contains(**backend));
+    let is_explained = |backend: &&&BackendId| confirmed.iter().any(|one| one.endings.contains(**backend));
     let explained = ended.iter().filter(is_explained).count();
     ended.len() - explained > explained
 }
 
 /// When each back end ended: nodes see an end some milliseconds apart, which must not tell who was there earlier.
-fn times_of_ends(suspects: &BTreeMap<Fingerprint, Suspect>) -> HashMap<&BackendId, u64> {
+fn termination_times(suspects: &BTreeMap<Fingerprint, Suspect>) -> HashMap<&BackendId, u64> {
     let mut times = HashMap::new();
     for (backend, at_ms) in suspects.values().flat_map(|suspect| &suspect.endings) {
         let earliest = times.entry(backend).or_insert(*at_ms);
@@ -134,16 +134,16 @@
     suspect: &'a Suspect,
     times: &HashMap<&BackendId, u64>,
 ) -> Option<Candidate<'a>> {
-    let endings: HashSet<&BackendId> = suspect.counted().map(|(backend, _)| backend).collect();
+    let endings: HashSet<&BackendId> = suspect.counted_terminations().map(|(backend, _)| backend).collect();
     let mut at: Vec<u64> = endings.iter().filter_map(|backend| times.get(backend)).copied().collect();
     at.sort_unstable();
-    let incriminated_ms = *at.get(ENDINGS_UNTIL_HELD - 1)?;
-    Some(Candidate { request: *request, suspect, endings, incriminated_ms })
+    let threshold_reached_ms = *at.get(TERMINATIONS_UNTIL_HELD - 1)?;
+    Some(Candidate { request: *request, suspect, endings, threshold_reached_ms })
 }
 
-fn describe(one: &Candidate<'_>, convicted: &[&Candidate<'_>], others_end_too: bool) -> Held {
-    let is_in_doubt = others_end_too || one.endings_alone(convicted) == 0;
-    Held {
+fn hold_state(one: &Candidate<'_>, confirmed: &[&Candidate<'_>], has_other_causes: bool) -> HoldState {
+    let is_in_doubt = has_other_causes || one.unshared_terminations(confirmed) == 0;
+    HoldState {
         endings: one.endings.len(),
         is_in_doubt,
         trials: one.suspect.trials,
--- a/crates/beamwall-quarantine/src/lib.rs
+++ b/crates/beamwall-quarantine/src/lib.rs
@@ -14,16 +14,16 @@
 //! This package performs no input or output.
 
 pub mod admission;
-pub mod book;
 pub mod evidence;
 pub mod fingerprint;
+pub mod hold_decision;
+pub mod limits;
+pub mod registry;
 pub mod suspect;
-pub mod terms;
-pub mod verdict;
 
 pub use admission::{Admission, HeldRequest};
-pub use book::{QuarantineBook, Standing};
-pub use evidence::{Completion, Ending, Evidence, Trial};
+pub use evidence::{Completion, Evidence, Termination, Trial};
 pub use fingerprint::{Fingerprint, FingerprintHasher};
+pub use limits::TERMINATIONS_UNTIL_HELD;
+pub use registry::{QuarantineRegistry, RequestStatus};
 pub use suspect::Suspect;
-pub use terms::ENDINGS_UNTIL_HELD;
--- a/crates/beamwall-quarantine/src/book.rs
+++ b/crates/beamwall-quarantine/src/registry.rs
@@ -8,15 +8,15 @@
 use beamwall_model::{BackendId, to_ms};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::evidence::{Completion, Ending, Evidence, Trial};
+use crate::evidence::{Completion, Evidence, Termination, Trial};
 use crate::fingerprint::Fingerprint;
+use crate::hold_decision::{self, HoldState};
+use crate::limits::{MAX_SUSPECTS, MAX_UNATTRIBUTED_TERMINATIONS, SUSPECT_RETENTION};
 use crate::suspect::Suspect;
-use crate::terms::{MOST_OTHER_ENDS, MOST_SUSPECTS, SUSPECTED_FOR};
-use crate::verdict::{self, Held};
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// It may be sent.
     Free,
     /// It is held, and a trial is due.
@@ -39,9 +39,9 @@
 
 /// What changed among the held requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HeldChanges {
+pub struct HoldChanges {
     /// Requests that are held from now on.
-    pub held: Vec<(Fingerprint, Held)>,
+    pub held: Vec<(Fingerprint, HoldState)>,
     /// Requests that are not held any more.
     pub freed: Vec<Fingerprint>,
 }
@@ -49,7 +49,7 @@
 /// All that one node knows of requests under which back ends end. A request that is not in it costs one look into a map
 /// that is empty nearly always.
 #[derive(Debug, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineRegistry {
     state: Mutex<State>,
     view: ArcSwap<View>,
 }
@@ -59,50 +59,50 @@
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// Back ends that ended without an open request of this node, and when. Every node sees these by itself, so they are not
     /// told, and no part of the digest.
-    ended: BTreeMap<BackendId, u64>,
+    unattributed: BTreeMap<BackendId, u64>,
     /// What this node saw itself and has not told yet.
-    untold: Evidence,
+    unsent: Evidence,
     /// Changes that were not reported yet.
-    changes: HeldChanges,
+    changes: HoldChanges,
 }
 
 /// The same for readers on the path of requests.
 #[derive(Debug, Default)]
 struct View {
     /// Requests against which something is told, and whether they are held.
-    suspects: HashMap<Fingerprint, Option<Held>>,
+    suspects: HashMap<Fingerprint, Option<HoldState>>,
     digest: u64,
-    kept_digest: u64,
+    persistent_digest: u64,
 }
 
 impl View {
     /// Why and how long a request is held; `None` where it is not.
-    fn held(&self, request: &Fingerprint) -> Option<&Held> {
+    fn held(&self, request: &Fingerprint) -> Option<&HoldState> {
         self.suspects.get(request)?.as_ref()
     }
 
     /// All requests that are held.
-    fn all_held(&self) -> impl Iterator<Item = (&Fingerprint, &Held)> {
+    fn all_held(&self) -> impl Iterator<Item = (&Fingerprint, &HoldState)> {
         self.suspects.iter().filter_map(|(request, held)| Some((request, held.as_ref()?)))
     }
 }
 
-impl QuarantineBook {
+impl QuarantineRegistry {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How a request stands.
-    pub fn standing(&self, request: &Fingerprint, now_ms: u64) -> Standing {
+    pub fn request_status(&self, request: &Fingerprint, now_ms: u64) -> RequestStatus {
         let view = self.view.load();
-        let Some(held) = view.held(request) else { return Standing::Free };
+        let Some(held) = view.held(request) else { return RequestStatus::Free };
         match held.next_trial_ms {
-            Some(due_ms) if now_ms >= due_ms => Standing::TrialDue {
+            Some(due_ms) if now_ms >= due_ms => RequestStatus::TrialDue {
                 number: held.trials + 1,
                 endings: held.endings,
                 is_in_doubt: held.is_in_doubt,
             },
-            next => Standing::Held {
+            next => RequestStatus::Held {
                 endings: held.endings,
                 retry_after: next
                     .filter(|_| held.is_in_doubt)
@@ -117,14 +117,18 @@
     }
 
     /// Whether an end of a back end tells against a request.
-    pub fn is_accused(&self, request: &Fingerprint) -> bool {
+    pub fn is_suspected(&self, request: &Fingerprint) -> bool {
         let is_known = self.view.load().suspects.contains_key(request);
         is_known
-            && self.lock().suspects.get(request).is_some_and(|suspect| suspect.counted().next().is_some())
+            && self
+                .lock()
+                .suspects
+                .get(request)
+                .is_some_and(|suspect| suspect.counted_terminations().next().is_some())
     }
 
     /// Requests that are held.
-    pub fn held(&self) -> Vec<(Fingerprint, Held)> {
+    pub fn held(&self) -> Vec<(Fingerprint, HoldState)> {
         self.view.load().all_held().map(|(request, held)| (*request, *held)).collect()
     }
 
@@ -134,18 +138,20 @@
     }
 
     /// Notes the end of a back end that this node saw, and the requests that it had open there.
-    pub fn note_ending(&self, backend: &BackendId, open: Vec<Fingerprint>, now_ms: u64) {
-        let ending = Ending { backend: backend.clone(), at_ms: now_ms, open };
+    pub fn note_termination(&self, backend: &BackendId, open: Vec<Fingerprint>, now_ms: u64) {
+        let ending = Termination { backend: backend.clone(), at_ms: now_ms, open };
         self.note(Evidence { endings: vec![ending], ..Evidence::default() }, now_ms);
     }
 
     /// Notes the end of a back end of which no open request is known here: it tells how often they end for other reasons.
-    pub fn note_other_end(&self, backend: &BackendId, now_ms: u64) {
+    pub fn note_unattributed_termination(&self, backend: &BackendId, now_ms: u64) {
         let mut state = self.lock();
-        if state.ended.len() >= MOST_OTHER_ENDS || state.ended.contains_key(backend) {
+        if state.unattributed.len() >= MAX_UNATTRIBUTED_TERMINATIONS
+            || state.unattributed.contains_key(backend)
+        {
             return;
         }
-        state.ended.insert(backend.clone(), now_ms);
+        state.unattributed.insert(backend.clone(), now_ms);
         if self.view.load().all_held().next().is_some() {
             self.publish(&mut state);
         }
@@ -154,7 +160,7 @@
     /// Notes that a back end ran a request to an end; returns whether that frees it of a suspicion.
     pub fn note_completion(&self, request: &Fingerprint, now_ms: u64) -> bool {
         // Of one that nothing tells against now, the others need not hear each time that it ran.
-        if !self.is_accused(request) {
+        if !self.is_suspected(request) {
             return false;
         }
         let completion = Completion { request: *request, at_ms: now_ms };
@@ -170,19 +176,19 @@
     /// Notes what this node saw; returns whether it was new.
     fn note(&self, evidence: Evidence, now_ms: u64) -> bool {
         let mut state = self.lock();
-        let new = self.take(&mut state, evidence, now_ms);
+        let new = self.apply_evidence(&mut state, evidence, now_ms);
         let is_new = !new.is_empty();
-        state.untold.extend(new);
+        state.unsent.extend(new);
         is_new
     }
 
     /// Takes what others tell; returns what of it was new here.
-    pub fn hear(&self, evidence: Evidence, now_ms: u64) -> Evidence {
-        self.take(&mut self.lock(), evidence, now_ms)
+    pub fn merge_evidence(&self, evidence: Evidence, now_ms: u64) -> Evidence {
+        self.apply_evidence(&mut self.lock(), evidence, now_ms)
     }
 
-    fn take(&self, state: &mut State, evidence: Evidence, now_ms: u64) -> Evidence {
-        let new = state.take(evidence, now_ms);
+    fn apply_evidence(&self, state: &mut State, evidence: Evidence, now_ms: u64) -> Evidence {
+        let new = state.add_evidence(evidence, now_ms);
         if !new.is_empty() {
             self.publish(state);
         }
@@ -190,33 +196,33 @@
     }
 
     /// Forgets requests whose time in the book is over.
-    pub fn forget_old(&self, now_ms: u64) {
+    pub fn remove_expired(&self, now_ms: u64) {
         let mut state = self.lock();
-        let before = state.suspects.len() + state.ended.len();
-        state.suspects.retain(|_, suspect| !suspect.is_over(now_ms));
-        state.ended.retain(|_, at_ms| now_ms <= at_ms.saturating_add(to_ms(SUSPECTED_FOR)));
-        if state.suspects.len() + state.ended.len() < before {
+        let before = state.suspects.len() + state.unattributed.len();
+        state.suspects.retain(|_, suspect| !suspect.is_expired(now_ms));
+        state.unattributed.retain(|_, at_ms| now_ms <= at_ms.saturating_add(to_ms(SUSPECT_RETENTION)));
+        if state.suspects.len() + state.unattributed.len() < before {
             self.publish(&mut state);
         }
     }
 
     /// What this node saw since this was last asked, to be told to all.
-    pub fn take_untold(&self) -> Evidence {
-        std::mem::take(&mut self.lock().untold)
+    pub fn take_unsent(&self) -> Evidence {
+        std::mem::take(&mut self.lock().unsent)
     }
 
     /// What changed among the held requests since this was last asked.
-    pub fn take_changes(&self) -> HeldChanges {
+    pub fn take_changes(&self) -> HoldChanges {
         std::mem::take(&mut self.lock().changes)
     }
 
     /// All that is known here.
-    pub fn whole(&self) -> Evidence {
-        Evidence::of(self.lock().suspects.iter())
+    pub fn all_evidence(&self) -> Evidence {
+        Evidence::from_suspects(self.lock().suspects.iter())
     }
 
     /// What is known of the held requests, to be kept where it outlives all nodes.
-    pub fn kept(&self) -> BTreeMap<Fingerprint, Suspect> {
+    pub fn persistent_suspects(&self) -> BTreeMap<Fingerprint, Suspect> {
         let view = self.view.load();
         let state = self.lock();
         let held = state.suspects.iter().filter(|(request, _)| view.held(request).is_some());
@@ -228,14 +234,14 @@
         self.view.load().digest
     }
 
-    /// The same for [`Self::kept`].
-    pub fn kept_digest(&self) -> u64 {
-        self.view.load().kept_digest
+    /// The same for [`Self::persistent_suspects`].
+    pub fn persistent_digest(&self) -> u64 {
+        self.view.load().persistent_digest
     }
 
     /// Works out anew who is held.
     fn publish(&self, state: &mut State) {
-        let held = verdict::held(&state.suspects, &state.ended);
+        let held = hold_decision::held_requests(&state.suspects, &state.unattributed);
         let before = self.view.load();
         let newly = held.iter().filter(|(request, _)| before.held(request).is_none());
         state.changes.held.extend(newly.map(|(request, held)| (*request, *held)));
@@ -245,7 +251,7 @@
         let kept = state.suspects.iter().filter(|(request, _)| held.contains_key(request));
         let view = View {
             digest: digest(state.suspects.iter()),
-            kept_digest: digest(kept),
+            persistent_digest: digest(kept),
             suspects: state.suspects.keys().map(|request| (*request, held.get(request).copied())).collect(),
         };
         self.view.store(Arc::new(view));
@@ -254,15 +260,15 @@
 
 impl State {
     /// Takes news; returns what of it was new.
-    fn take(&mut self, evidence: Evidence, now_ms: u64) -> Evidence {
+    fn add_evidence(&mut self, evidence: Evidence, now_ms: u64) -> Evidence {
         let mut new = Evidence::default();
-        for Ending { backend, at_ms, open } in evidence.endings {
+        for Termination { backend, at_ms, open } in evidence.endings {
             let open: Vec<Fingerprint> = open
                 .into_iter()
-                .filter(|request| self.take_ending(request, &backend, at_ms, now_ms))
+                .filter(|request| self.merge_termination(request, &backend, at_ms, now_ms))
                 .collect();
             if !open.is_empty() {
-                new.endings.push(Ending { backend, at_ms, open });
+                new.endings.push(Termination { backend, at_ms, open });
             }
         }
         // Nothing is noted of a request that was at no end: it would stay for no reason.
@@ -278,13 +284,19 @@
                 new.trials.push(trial);
             }
         }
-        self.make_room();
+        self.evict_excess();
         new
     }
 
-    fn take_ending(&mut self, request: &Fingerprint, backend: &BackendId, at_ms: u64, now_ms: u64) -> bool {
+    fn merge_termination(
+        &mut self,
+        request: &Fingerprint,
+        backend: &BackendId,
+        at_ms: u64,
+        now_ms: u64,
+    ) -> bool {
         let mut suspect = self.suspects.get(request).cloned().unwrap_or_default();
-        let is_new = suspect.note_ending(backend, at_ms) && !suspect.is_over(now_ms);
+        let is_new = suspect.note_termination(backend, at_ms) && !suspect.is_expired(now_ms);
         if is_new {
             self.suspects.insert(*request, suspect);
         }
@@ -292,13 +304,13 @@
     }
 
     /// Drops the lightest suspects where there are too many.
-    fn make_room(&mut self) {
-        let too_many = self.suspects.len().saturating_sub(MOST_SUSPECTS);
+    fn evict_excess(&mut self) {
+        let too_many = self.suspects.len().saturating_sub(MAX_SUSPECTS);
         if too_many == 0 {
             return;
         }
         let mut weights: Vec<((usize, u64), Fingerprint)> =
-            self.suspects.iter().map(|(request, suspect)| (suspect.weight(), *request)).collect();
+            self.suspects.iter().map(|(request, suspect)| (suspect.retention_priority(), *request)).collect();
         weights.select_nth_unstable(too_many - 1);
         for (_, request) in &weights[..too_many] {
             self.suspects.remove(request);
--- a/crates/beamwall-quarantine/src/suspect.rs
+++ b/crates/beamwall-quarantine/src/suspect.rs
@@ -5,7 +5,9 @@
 use beamwall_model::{BackendId, to_ms};
 use serde::{Deserialize, Serialize};
 
-use crate::terms::{ENDINGS_UNTIL_HELD, HELD_FOR, MOST_ENDINGS, SUSPECTED_FOR};
+use crate::limits::{
+    HOLD_RETENTION, MAX_TERMINATIONS_PER_REQUEST, SUSPECT_RETENTION, TERMINATIONS_UNTIL_HELD,
+};
 
 /// A request that was open at the end of a back end.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +25,7 @@
 
 impl Suspect {
     /// Notes an end of a back end; returns whether that is new.
-    pub fn note_ending(&mut self, backend: &BackendId, at_ms: u64) -> bool {
+    pub fn note_termination(&mut self, backend: &BackendId, at_ms: u64) -> bool {
         let is_new = match self.endings.get_mut(backend) {
             // Nodes see the same end some milliseconds apart; the earliest counts for all.
             Some(known) if at_ms < *known => {
@@ -36,7 +38,7 @@
                 true
             }
         };
-        while self.endings.len() > MOST_ENDINGS {
+        while self.endings.len() > MAX_TERMINATIONS_PER_REQUEST {
             let earliest = self.endings.iter().min_by_key(|(backend, at)| (**at, (*backend).clone()));
             let Some(earliest) = earliest.map(|(backend, _)| backend.clone()) else { break };
             self.endings.remove(&earliest);
@@ -61,30 +63,30 @@
     }
 
     /// Ends of back ends that tell against it.
-    pub fn counted(&self) -> impl Iterator<Item = (&BackendId, u64)> {
+    pub fn counted_terminations(&self) -> impl Iterator<Item = (&BackendId, u64)> {
         let ended = self.endings.iter().map(|(backend, at_ms)| (backend, *at_ms));
         ended.filter(|(_, at_ms)| *at_ms > self.completed_ms)
     }
 
     /// Whether it was at enough ends of back ends to be held.
-    pub fn may_be_held(&self) -> bool {
-        self.counted().count() >= ENDINGS_UNTIL_HELD
+    pub fn reaches_hold_threshold(&self) -> bool {
+        self.counted_terminations().count() >= TERMINATIONS_UNTIL_HELD
     }
 
     /// The last moment from which its time in the book counts.
-    pub fn latest_ms(&self) -> u64 {
+    pub fn last_activity_ms(&self) -> u64 {
         let ended = self.endings.values().copied().max().unwrap_or(0);
         ended.max(self.trial_ms)
     }
 
     /// Whether its time in the book is over.
-    pub fn is_over(&self, now_ms: u64) -> bool {
-        let kept = if self.may_be_held() { HELD_FOR } else { SUSPECTED_FOR };
-        now_ms > self.latest_ms().saturating_add(to_ms(kept))
+    pub fn is_expired(&self, now_ms: u64) -> bool {
+        let kept = if self.reaches_hold_threshold() { HOLD_RETENTION } else { SUSPECT_RETENTION };
+        now_ms > self.last_activity_ms().saturating_add(to_ms(kept))
     }
 
     /// What is kept first where there is not room for all: the greater, the rather.
-    pub fn weight(&self) -> (usize, u64) {
-        (self.counted().count(), self.latest_ms())
+    pub fn retention_priority(&self) -> (usize, u64) {
+        (self.counted_terminations().count(), self.last_activity_ms())
     }
 }
--- a/crates/beamwall-quarantine/tests/simulation.rs
+++ b/crates/beamwall-quarantine/tests/simulation.rs
@@ -9,42 +9,42 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use beamwall_model::BackendId;
-use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineBook, Standing};
+use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineRegistry, RequestStatus};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 const SEEDS: u64 = 200;
 const ENGINES: usize = 12;
 const REQUESTS_PER_S: f64 = 60.0;
-const DAY_MS: u64 = 60_000;
+const RUN_MS: u64 = 60_000;
 const START_MS: u64 = 1_700_000_000_000;
-const AWAY_MS: u64 = 4_000;
+const RESTART_MS: u64 = 4_000;
 const CULPRIT_RUNS_MS: u64 = 60;
 const CULPRIT_PERIOD_MS: u64 = 250;
-const KNOWN_AFTER_MS: u64 = 100;
-const COMES_AGAIN: f64 = 0.9;
-const COMES_AGAIN_AFTER_MS: u64 = 100;
-const MOST_TRIES: u32 = 12;
+const PROPAGATION_MS: u64 = 100;
+const RETRY_PROBABILITY: f64 = 0.9;
+const RETRY_DELAY_MS: u64 = 100;
+const MAX_ATTEMPTS: u32 = 12;
 /// Time after which an innocent request comes again that was refused without a time.
-const COMES_BACK_AFTER_MS: u64 = 2_000;
+const REFUSED_RETRY_DELAY_MS: u64 = 2_000;
 /// After this time the platform counts what still reaches engines.
-const CONTACT_MS: u64 = 3_000;
+const DETECTION_DEADLINE_MS: u64 = 3_000;
 /// Time within which each held request has had a trial that no other end of an engine spoils.
-const TRIED_WITHIN_MS: u64 = 3_600_000;
+const TRIAL_HORIZON_MS: u64 = 3_600_000;
 /// Tries that may reach engines then, by the platform's rule.
-const ALLOWED: usize = 3;
+const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// Who decides what is held.
-enum Way {
+enum Strategy {
     /// The book.
-    Book,
+    Registry,
     /// Whoever was open at that many ends, and has not run to an end since.
     Count(usize),
 }
 
 /// What happens to engines.
 #[derive(Clone)]
-struct Scene {
+struct Scenario {
     /// When each culprit begins and stops to be sent.
     culprits: Vec<(u64, u64)>,
     /// When all engines of a third end at once.
@@ -55,11 +55,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives { request: usize, tries: u32 },
+    Arrives { request: usize, attempt: u32 },
     Ends { engine: usize, life: u32, request: Option<usize> },
     Completes { engine: usize, life: u32, request: usize },
-    IsBack { engine: usize },
-    IsKnown { ending: usize },
+    Restarted { engine: usize },
+    Propagated { ending: usize },
     PowerLoss { third: usize },
     Crash,
 }
@@ -67,7 +67,7 @@
 #[derive(Default)]
 struct Engine {
     life: u32,
-    is_away: bool,
+    is_down: bool,
     open: Vec<(usize, u32)>,
 }
 
@@ -88,16 +88,16 @@
 }
 
 struct Simulation {
-    way: Way,
+    strategy: Strategy,
     random: StdRng,
     now_ms: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     engines: Vec<Engine>,
-    names: Vec<Fingerprint>,
+    fingerprints: Vec<Fingerprint>,
     culprits: Vec<(u64, u64)>,
     culprit_ends: HashMap<usize, Vec<u64>>,
     endings: Vec<(BackendId, Vec<Fingerprint>, u64)>,
-    book: QuarantineBook,
+    registry: QuarantineRegistry,
     counts: HashMap<Fingerprint, usize>,
     /// Innocent requests that were refused, and when first; `None` once they were let through.
     refused: HashMap<usize, Option<u64>>,
@@ -105,57 +105,58 @@
 }
 
 impl Simulation {
-    fn run(way: Way, scene: &Scene, seed: u64) -> Outcome {
-        let culprits = scene.culprits.clone();
+    fn run(strategy: Strategy, scenario: &Scenario, seed: u64) -> Outcome {
+        let culprits = scenario.culprits.clone();
         let mut simulation = Self {
-            way,
+            strategy,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
             events: BinaryHeap::new(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
-            names: Vec::new(),
+            fingerprints: Vec::new(),
             culprit_ends: HashMap::new(),
             endings: Vec::new(),
-            book: QuarantineBook::default(),
+            registry: QuarantineRegistry::default(),
             counts: HashMap::new(),
             refused: HashMap::new(),
             outcome: Outcome { late: vec![0; culprits.len()], ..Outcome::default() },
             culprits,
         };
-        simulation.plan(scene);
+        simulation.plan(scenario);
         while let Some(Reverse((at_ms, event))) = simulation.events.pop() {
             simulation.now_ms = at_ms;
-            simulation.handle(event, scene);
+            simulation.handle(event, scenario);
         }
         simulation.conclude()
     }
 
-    fn plan(&mut self, scene: &Scene) {
+    fn plan(&mut self, scenario: &Scenario) {
         for (culprit, (begins_ms, stops_ms)) in self.culprits.clone().into_iter().enumerate() {
             self.name();
             let mut at_ms = begins_ms;
             while at_ms < stops_ms {
-                self.add(at_ms, Event::Arrives { request: culprit, tries: MOST_TRIES });
+                self.add(at_ms, Event::Arrives { request: culprit, attempt: MAX_ATTEMPTS });
                 at_ms += CULPRIT_PERIOD_MS;
             }
         }
         let mut at_ms = 0.0;
-        while at_ms < DAY_MS as f64 {
+        while at_ms < RUN_MS as f64 {
             let request = self.name();
-            self.add(at_ms as u64, Event::Arrives { request, tries: 1 });
+            self.add(at_ms as u64, Event::Arrives { request, attempt: 1 });
             at_ms += -self.random.random_range(f64::EPSILON..1.0_f64).ln() * 1_000.0 / REQUESTS_PER_S;
         }
-        for (number, at_ms) in scene.power_losses.iter().enumerate() {
+        for (number, at_ms) in scenario.power_losses.iter().enumerate() {
             self.add(*at_ms, Event::PowerLoss { third: number % 3 });
         }
-        if scene.crash_period_ms > 0 {
-            self.add(scene.crash_period_ms, Event::Crash);
+        if scenario.crash_period_ms > 0 {
+            self.add(scenario.crash_period_ms, Event::Crash);
         }
     }
 
     fn name(&mut self) -> usize {
-        let number = self.names.len();
-        self.names.push(FingerprintHasher::new(Some("alder"), "a.example", &number.to_string()).finish());
+        let number = self.fingerprints.len();
+        self.fingerprints
+            .push(FingerprintHasher::new(Some("alder"), "a.example", &number.to_string()).finish());
         number
     }
 
@@ -167,9 +168,9 @@
         request < self.culprits.len()
     }
 
-    fn handle(&mut self, event: Event, scene: &Scene) {
+    fn handle(&mut self, event: Event, scenario: &Scenario) {
         match event {
-            Event::Arrives { request, tries } => self.arrive(request, tries),
+            Event::Arrives { request, attempt } => self.arrive(request, attempt),
             Event::Ends { engine, life, request } if self.engines[engine].life == life => {
                 if let Some(request) = request {
                     self.culprit_ends.entry(request).or_default().push(self.now_ms);
@@ -179,15 +180,15 @@
             }
             Event::Completes { engine, life, request } if self.engines[engine].life == life => {
                 self.engines[engine].open.retain(|(other, _)| *other != request);
-                self.book.note_completion(&self.names[request], START_MS + self.now_ms);
-                self.counts.remove(&self.names[request]);
+                self.registry.note_completion(&self.fingerprints[request], START_MS + self.now_ms);
+                self.counts.remove(&self.fingerprints[request]);
             }
             Event::Ends { .. } | Event::Completes { .. } => {}
-            Event::IsBack { engine } => self.engines[engine].is_away = false,
-            Event::IsKnown { ending } => {
+            Event::Restarted { engine } => self.engines[engine].is_down = false,
+            Event::Propagated { ending } => {
                 let (backend, open, at_ms) = self.endings[ending].clone();
                 open.iter().for_each(|request| *self.counts.entry(*request).or_default() += 1);
-                self.book.note_ending(&backend, open, at_ms);
+                self.registry.note_termination(&backend, open, at_ms);
             }
             Event::PowerLoss { third } => {
                 (0..ENGINES).filter(|engine| engine % 3 == third).for_each(|engine| self.end(engine));
@@ -195,46 +196,48 @@
             Event::Crash => {
                 let engine = self.random.random_range(0..ENGINES);
                 self.end(engine);
-                if self.now_ms + scene.crash_period_ms < DAY_MS {
-                    self.add(self.now_ms + scene.crash_period_ms, Event::Crash);
+                if self.now_ms + scenario.crash_period_ms < RUN_MS {
+                    self.add(self.now_ms + scenario.crash_period_ms, Event::Crash);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, request: usize, tries: u32) {
+    fn arrive(&mut self, request: usize, attempt: u32) {
         let now_ms = START_MS + self.now_ms;
-        let name = self.names[request];
-        let comes_back_after = Some(COMES_BACK_AFTER_MS);
-        let refused_for = match self.way {
-            Way::Count(ends) => self.counts.get(&name).filter(|count| **count >= ends).and(comes_back_after),
-            Way::Book => match self.book.standing(&name, now_ms) {
-                Standing::Free => None,
-                Standing::Held { retry_after: Some(after), .. } => Some(after.as_millis() as u64),
-                Standing::Held { .. } => comes_back_after,
-                Standing::TrialDue { number, .. } => {
-                    self.book.note_trial(&name, number, now_ms);
+        let name = self.fingerprints[request];
+        let refused_retry_delay = Some(REFUSED_RETRY_DELAY_MS);
+        let refused_for = match self.strategy {
+            Strategy::Count(ends) => {
+                self.counts.get(&name).filter(|count| **count >= ends).and(refused_retry_delay)
+            }
+            Strategy::Registry => match self.registry.request_status(&name, now_ms) {
+                RequestStatus::Free => None,
+                RequestStatus::Held { retry_after: Some(after), .. } => Some(after.as_millis() as u64),
+                RequestStatus::Held { .. } => refused_retry_delay,
+                RequestStatus::TrialDue { number, .. } => {
+                    self.registry.note_trial(&name, number, now_ms);
                     None
                 }
             },
         };
         if let Some(after_ms) = refused_for {
-            return self.note_refusal(request, tries, after_ms);
+            return self.note_refusal(request, attempt, after_ms);
         }
         if let Some(since_ms) = self.refused.get_mut(&request).and_then(Option::take) {
             let refused_ms = self.now_ms - since_ms;
             self.outcome.longest_refused_ms = self.outcome.longest_refused_ms.max(refused_ms);
         }
-        let up: Vec<usize> = (0..ENGINES).filter(|engine| !self.engines[*engine].is_away).collect();
+        let up: Vec<usize> = (0..ENGINES).filter(|engine| !self.engines[*engine].is_down).collect();
         if up.is_empty() {
             return;
         }
         let engine = up[self.random.random_range(0..up.len())];
         let life = self.engines[engine].life;
-        self.engines[engine].open.push((request, tries));
+        self.engines[engine].open.push((request, attempt));
         if self.is_culprit(request) {
             let third = self.culprit_ends.get(&request).and_then(|ends| ends.get(2)).copied();
-            if third.is_some_and(|third| self.now_ms > third + CONTACT_MS) {
+            if third.is_some_and(|third| self.now_ms > third + DETECTION_DEADLINE_MS) {
                 self.outcome.late[request] += 1;
             }
             let ends = Event::Ends { engine, life, request: Some(request) };
@@ -245,44 +248,45 @@
         }
     }
 
-    fn note_refusal(&mut self, request: usize, tries: u32, after_ms: u64) {
+    fn note_refusal(&mut self, request: usize, attempt: u32, after_ms: u64) {
         if self.is_culprit(request) {
             return;
         }
         if self.refused.insert(request, Some(self.now_ms)).is_none() {
             self.outcome.refused_innocents += 1;
         }
-        if tries < MOST_TRIES {
-            self.add(self.now_ms + after_ms, Event::Arrives { request, tries: tries + 1 });
+        if attempt < MAX_ATTEMPTS {
+            self.add(self.now_ms + after_ms, Event::Arrives { request, attempt: attempt + 1 });
         }
     }
 
     /// An engine ends with all that it runs.
     fn end(&mut self, engine: usize) {
-        if self.engines[engine].is_away {
+        if self.engines[engine].is_down {
             return;
         }
         let backend = BackendId::new(format!("i-{engine}@{}", self.engines[engine].life));
         self.engines[engine].life += 1;
-        self.engines[engine].is_away = true;
-        self.add(self.now_ms + AWAY_MS, Event::IsBack { engine });
+        self.engines[engine].is_down = true;
+        self.add(self.now_ms + RESTART_MS, Event::Restarted { engine });
         let open = std::mem::take(&mut self.engines[engine].open);
-        let names = open.iter().map(|(request, _)| self.names[*request]).collect();
-        self.endings.push((backend, names, START_MS + self.now_ms));
-        self.add(self.now_ms + KNOWN_AFTER_MS, Event::IsKnown { ending: self.endings.len() - 1 });
-        for (request, tries) in open {
-            if tries < MOST_TRIES && self.random.random_bool(COMES_AGAIN) {
-                let again = Event::Arrives { request, tries: tries + 1 };
-                self.add(self.now_ms + COMES_AGAIN_AFTER_MS, again);
+        let fingerprints = open.iter().map(|(request, _)| self.fingerprints[*request]).collect();
+        self.endings.push((backend, fingerprints, START_MS + self.now_ms));
+        self.add(self.now_ms + PROPAGATION_MS, Event::Propagated { ending: self.endings.len() - 1 });
+        for (request, attempt) in open {
+            if attempt < MAX_ATTEMPTS && self.random.random_bool(RETRY_PROBABILITY) {
+                let again = Event::Arrives { request, attempt: attempt + 1 };
+                self.add(self.now_ms + RETRY_DELAY_MS, again);
             }
         }
     }
 
     fn conclude(mut self) -> Outcome {
-        let culprits: HashSet<Fingerprint> = self.names[..self.culprits.len()].iter().copied().collect();
-        let held: Vec<Fingerprint> = match self.way {
-            Way::Book => self.book.held().iter().map(|(request, _)| *request).collect(),
-            Way::Count(ends) => {
+        let culprits: HashSet<Fingerprint> =
+            self.fingerprints[..self.culprits.len()].iter().copied().collect();
+        let held: Vec<Fingerprint> = match self.strategy {
+            Strategy::Registry => self.registry.held().iter().map(|(request, _)| *request).collect(),
+            Strategy::Count(ends) => {
                 let held = self.counts.iter().filter(|(_, count)| **count >= ends);
                 held.map(|(request, _)| *request).collect()
             }
@@ -290,30 +294,32 @@
         let innocents: Vec<&Fingerprint> =
             held.iter().filter(|request| !culprits.contains(*request)).collect();
         self.outcome.held_at_the_end = innocents.len();
-        self.outcome.held_for_good = match self.way {
-            Way::Book => innocents.iter().filter(|request| !self.is_freed_by_its_trial(request)).count(),
-            Way::Count(_) => innocents.len(),
+        self.outcome.held_for_good = match self.strategy {
+            Strategy::Registry => {
+                innocents.iter().filter(|request| !self.is_freed_by_its_trial(request)).count()
+            }
+            Strategy::Count(_) => innocents.len(),
         };
         self.outcome
     }
 
     /// Whether an innocent request that comes again later is tried, and free from then on.
     fn is_freed_by_its_trial(&self, request: &Fingerprint) -> bool {
-        let later_ms = START_MS + DAY_MS + TRIED_WITHIN_MS;
-        let number = match self.book.standing(request, later_ms) {
+        let later_ms = START_MS + RUN_MS + TRIAL_HORIZON_MS;
+        let number = match self.registry.request_status(request, later_ms) {
             // What another held request did may have cleared this one.
-            Standing::Free => return true,
-            Standing::TrialDue { number, .. } => number,
-            Standing::Held { .. } => return false,
+            RequestStatus::Free => return true,
+            RequestStatus::TrialDue { number, .. } => number,
+            RequestStatus::Held { .. } => return false,
         };
-        self.book.note_trial(request, number, later_ms);
-        self.book.note_completion(request, later_ms + 1);
-        self.book.standing(request, later_ms + 2) == Standing::Free
+        self.registry.note_trial(request, number, later_ms);
+        self.registry.note_completion(request, later_ms + 1);
+        self.registry.request_status(request, later_ms + 2) == RequestStatus::Free
     }
 }
 
 /// The sums over all seeds, and the worst of them.
-struct Sums {
+struct Totals {
     ended_by_culprits: usize,
     most_late: usize,
     refused_innocents: usize,
@@ -323,10 +329,10 @@
     longest_refused_ms: u64,
 }
 
-fn play(name: &str, way: fn() -> Way, scene: &Scene) -> Sums {
-    let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| Simulation::run(way(), scene, seed)).collect();
+fn run_scenario(name: &str, strategy: fn() -> Strategy, scenario: &Scenario) -> Totals {
+    let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| Simulation::run(strategy(), scenario, seed)).collect();
     let refused = outcomes.iter().map(|outcome| outcome.refused_innocents);
-    let sums = Sums {
+    let totals = Totals {
         ended_by_culprits: outcomes.iter().map(|outcome| outcome.ended_by_culprits).sum(),
         most_late: outcomes.iter().flat_map(|outcome| outcome.late.iter().copied()).max().unwrap_or(0),
         refused_innocents: refused.clone().sum(),
@@ -338,89 +344,89 @@
     println!(
         "{name}: {:.2} engines ended a culprit; late {}; innocents refused {:.3} a day, at most {}, for {} ms at most; \
          held at the end {:.3} a day, for good {}",
-        sums.ended_by_culprits as f64 / (SEEDS as usize * scene.culprits.len().max(1)) as f64,
-        sums.most_late,
-        sums.refused_innocents as f64 / SEEDS as f64,
-        sums.most_refused_innocents,
-        sums.longest_refused_ms,
-        sums.held_at_the_end as f64 / SEEDS as f64,
-        sums.held_for_good,
+        totals.ended_by_culprits as f64 / (SEEDS as usize * scenario.culprits.len().max(1)) as f64,
+        totals.most_late,
+        totals.refused_innocents as f64 / SEEDS as f64,
+        totals.most_refused_innocents,
+        totals.longest_refused_ms,
+        totals.held_at_the_end as f64 / SEEDS as f64,
+        totals.held_for_good,
     );
-    sums
+    totals
 }
 
-fn calm() -> Scene {
-    Scene { culprits: Vec::new(), power_losses: Vec::new(), crash_period_ms: 0 }
+fn no_failures() -> Scenario {
+    Scenario { culprits: Vec::new(), power_losses: Vec::new(), crash_period_ms: 0 }
 }
 
-fn one_culprit() -> Scene {
-    Scene { culprits: vec![(5_000, 55_000)], ..calm() }
+fn one_culprit() -> Scenario {
+    Scenario { culprits: vec![(5_000, 55_000)], ..no_failures() }
 }
 
-fn three_culprits() -> Scene {
-    Scene { culprits: vec![(5_000, 40_000), (5_100, 40_000), (20_000, 55_000)], ..calm() }
+fn three_culprits() -> Scenario {
+    Scenario { culprits: vec![(5_000, 40_000), (5_100, 40_000), (20_000, 55_000)], ..no_failures() }
 }
 
 /// Of one kind of requests a few in a hundred end their engines for 20 s, one after another and again each time they come.
-fn a_share_of_one_kind() -> Scene {
+fn culprits_of_one_kind() -> Scenario {
     let culprit = |number: u64| (5_000 + number * 1_500, 25_000);
-    Scene { culprits: (0..8).map(culprit).collect(), ..calm() }
+    Scenario { culprits: (0..8).map(culprit).collect(), ..no_failures() }
 }
 
-fn power_losses() -> Scene {
-    Scene { power_losses: vec![5_000, 10_000, 15_000, 20_000, 25_000, 30_000], ..calm() }
+fn power_losses() -> Scenario {
+    Scenario { power_losses: vec![5_000, 10_000, 15_000, 20_000, 25_000, 30_000], ..no_failures() }
 }
 
 /// Engines are lost one after another, each `period_ms`.
-fn lost_each(period_ms: u64) -> Scene {
-    Scene { crash_period_ms: period_ms, ..calm() }
+fn crash_every(period_ms: u64) -> Scenario {
+    Scenario { crash_period_ms: period_ms, ..no_failures() }
 }
 
-fn culprits_among_crashes() -> Scene {
-    Scene { crash_period_ms: 2_000, ..three_culprits() }
+fn culprits_among_crashes() -> Scenario {
+    Scenario { crash_period_ms: 2_000, ..three_culprits() }
 }
 
 #[test]
 fn culprits_are_stopped_in_time_whatever_else_ends_engines() {
-    for (name, scene) in [
+    for (name, scenario) in [
         ("one culprit", one_culprit()),
         ("three culprits", three_culprits()),
         ("three culprits among crashes", culprits_among_crashes()),
     ] {
-        let sums = play(name, || Way::Book, &scene);
-        assert!(sums.most_late <= ALLOWED, "{name}: {} reached engines late", sums.most_late);
-        assert_eq!(sums.held_for_good, 0, "{name}: innocents are held for good");
+        let totals = run_scenario(name, || Strategy::Registry, &scenario);
+        assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{name}: {} reached engines late", totals.most_late);
+        assert_eq!(totals.held_for_good, 0, "{name}: innocents are held for good");
     }
 }
 
 /// Guards against: many requests that end engines hide each other, or have others of their kind held with them.
 #[test]
 fn a_share_of_one_kind_that_ends_engines_is_stopped_one_by_one() {
-    let sums = play("eight culprits of one kind", || Way::Book, &a_share_of_one_kind());
-    assert!(sums.most_late <= ALLOWED, "{} reached engines late", sums.most_late);
-    assert_eq!(sums.held_for_good, 0, "innocents are held for good");
+    let totals = run_scenario("eight culprits of one kind", || Strategy::Registry, &culprits_of_one_kind());
+    assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{} reached engines late", totals.most_late);
+    assert_eq!(totals.held_for_good, 0, "innocents are held for good");
 }
 
 #[test]
 fn engines_that_end_for_other_reasons_hold_nobody_for_good() {
-    for (name, scene) in [
+    for (name, scenario) in [
         ("power losses", power_losses()),
-        ("an engine lost each two seconds", lost_each(2_000)),
-        ("an engine lost each half second, so that a third is left", lost_each(500)),
+        ("an engine lost each two seconds", crash_every(2_000)),
+        ("an engine lost each half second, so that a third is left", crash_every(500)),
     ] {
-        let sums = play(name, || Way::Book, &scene);
-        assert_eq!(sums.held_for_good, 0, "{name}: innocents are held for good");
+        let totals = run_scenario(name, || Strategy::Registry, &scenario);
+        assert_eq!(totals.held_for_good, 0, "{name}: innocents are held for good");
     }
 }
 
 /// The way that was weighed against the book: prints the table of the design note.
 #[test]
 fn counting_alone_holds_innocents_for_good() {
-    let scene = three_culprits();
-    let three = play("three culprits, count of 3", || Way::Count(3), &scene);
-    let two = play("three culprits, count of 2", || Way::Count(2), &scene);
+    let scenario = three_culprits();
+    let three = run_scenario("three culprits, count of 3", || Strategy::Count(3), &scenario);
+    let two = run_scenario("three culprits, count of 2", || Strategy::Count(2), &scenario);
     assert!(three.refused_innocents < two.refused_innocents);
     assert!(three.held_for_good > 0 && two.held_for_good > 0);
-    play("an engine lost each two seconds, count of 3", || Way::Count(3), &lost_each(2_000));
-    play("an engine lost each two seconds, count of 2", || Way::Count(2), &lost_each(2_000));
+    run_scenario("an engine lost each two seconds, count of 3", || Strategy::Count(3), &crash_every(2_000));
+    run_scenario("an engine lost each two seconds, count of 2", || Strategy::Count(2), &crash_every(2_000));
 }
