--- a/crates/beamwall-rollout/src/detector.rs
+++ b/crates/beamwall-rollout/src/detector.rs
@@ -15,15 +15,15 @@
 use crate::likelihood::{self, Answers};
 
 /// Worsenings, as shares of all answers, that are looked for: a slight one and a plain one.
-const WORSENINGS: [f64; 2] = [0.05, 0.5];
+const DEGRADATIONS: [f64; 2] = [0.05, 0.5];
 /// Logarithm of the likelihood ratio from which a version counts as bad.
-const CERTAIN: f64 = 9.0;
+const REJECT_THRESHOLD: f64 = 9.0;
 /// Logarithms of the likelihood ratio below which a version counts as good: until its order's end, and after it. A late version
 /// loses nothing by being later, and one that is taken can't be taken back.
-const GOOD_IN_TIME: f64 = -5.0;
-const GOOD_WHEN_LATE: f64 = -7.0;
+const ACCEPT_THRESHOLD: f64 = -5.0;
+const LATE_ACCEPT_THRESHOLD: f64 = -7.0;
 /// Part of a service's answers below which a route need not have shown that it is good.
-const SMALL_ROUTE: f64 = 0.03;
+const MIN_ROUTE_SHARE: f64 = 0.03;
 
 /// Why a version is bad.
 #[derive(Debug, Clone, PartialEq)]
@@ -56,19 +56,19 @@
     }
 
     /// The sum against the version. Each back end counts as far as it is likely to be sound.
-    fn against(&self, version: &History) -> f64 {
+    fn evidence_against(&self, version: &History) -> f64 {
         self.by_back_end.iter().map(|(id, ratio)| ratio * version.soundness(id)).sum()
     }
 
     /// The sum by which the version is held for good. Only back ends that are certainly in trouble are left out: a slight
     /// worsening shows by single bad answers at each.
-    fn against_good(&self, version: &History) -> f64 {
-        let kept = self.by_back_end.iter().filter(|(id, _)| !version.is_in_trouble(id));
+    fn acceptance_score(&self, version: &History) -> f64 {
+        let kept = self.by_back_end.iter().filter(|(id, _)| !version.is_outlier(id));
         kept.map(|(_, ratio)| ratio).sum()
     }
 
     /// Begins anew where nothing speaks against the version.
-    fn settle(&mut self) {
+    fn reset_unless_positive(&mut self) {
         if self.total() <= 0.0 {
             *self = Self::default();
         }
@@ -82,7 +82,7 @@
     new: History,
     sums: Sums,
     /// Sums that never begin anew, since the new version has taken all requests.
-    under_all: Option<Sums>,
+    acceptance_sums: Option<Sums>,
 }
 
 /// The sums by route, or of all, and number of the worsening.
@@ -90,22 +90,22 @@
 
 impl Detector {
     /// Looks at all that was counted so far; gives what is found against the new version.
-    pub fn look(&mut self, evidence: &Evidence) -> Option<Finding> {
-        self.old.take(&evidence.old);
-        for (route, id, answers) in self.new.take(&evidence.new) {
-            self.weigh(&route, &id, answers);
+    pub fn evaluate(&mut self, evidence: &Evidence) -> Option<Finding> {
+        self.old.update_counts(&evidence.old);
+        for (route, id, answers) in self.new.update_counts(&evidence.new) {
+            self.update_sums(&route, &id, answers);
         }
-        self.sums.values_mut().for_each(Sum::settle);
-        self.found()
+        self.sums.values_mut().for_each(Sum::reset_unless_positive);
+        self.conclusive_finding()
     }
 
-    fn weigh(&mut self, route: &str, id: &BackendId, answers: Answers) {
-        for (number, worsening) in WORSENINGS.iter().enumerate() {
-            let against = likelihood::ratio(answers, self.old.share_now(route), *worsening);
-            let with_usual = likelihood::ratio(answers, self.old.usual_share(route), *worsening);
+    fn update_sums(&mut self, route: &str, id: &BackendId, answers: Answers) {
+        for (number, degradation) in DEGRADATIONS.iter().enumerate() {
+            let against = likelihood::ratio(answers, self.old.share_now(route), *degradation);
+            let with_usual = likelihood::ratio(answers, self.old.usual_share(route), *degradation);
             for of in [Some(route.to_owned()), None] {
                 let key = (of, number);
-                if let Some(sums) = &mut self.under_all {
+                if let Some(sums) = &mut self.acceptance_sums {
                     sums.entry(key.clone()).or_default().add(id, answers, with_usual);
                 }
                 self.sums.entry(key).or_default().add(id, answers, against);
@@ -114,33 +114,33 @@
     }
 
     /// Counts from now on what speaks for the version, which takes all requests.
-    pub fn note_takes_all(&mut self) {
-        self.under_all.get_or_insert_with(Sums::new);
+    pub fn start_acceptance(&mut self) {
+        self.acceptance_sums.get_or_insert_with(Sums::new);
     }
 
     /// Whether the answers since then say that the version is good: against the slight worsening over all routes, and against
     /// the plain one on each that matters. Only back ends in trouble are left out: a slight worsening shows at few of the others.
-    pub fn speaks_for(&self, is_late: bool) -> bool {
-        let Some(sums) = &self.under_all else { return false };
-        let (slight, plain) = (0, WORSENINGS.len() - 1);
-        let good = if is_late { GOOD_WHEN_LATE } else { GOOD_IN_TIME };
+    pub fn is_confirmed_good(&self, is_late: bool) -> bool {
+        let Some(sums) = &self.acceptance_sums else { return false };
+        let (slight, plain) = (0, DEGRADATIONS.len() - 1);
+        let good = if is_late { LATE_ACCEPT_THRESHOLD } else { ACCEPT_THRESHOLD };
         let is_good = |key: (Option<String>, usize)| {
-            sums.get(&key).is_some_and(|sum| sum.against_good(&self.new) <= good)
+            sums.get(&key).is_some_and(|sum| sum.acceptance_score(&self.new) <= good)
         };
-        let least = SMALL_ROUTE * self.old.answers(None);
+        let least = MIN_ROUTE_SHARE * self.old.answers(None);
         let mut routes = self.old.routes().filter(|route| self.old.answers(Some(route)) >= least);
         is_good((None, slight)) && routes.all(|route| is_good((Some(route.clone()), plain)))
     }
 
     /// Why the version is worse where that is not certain, but more likely than not over all routes.
-    pub fn suspicion(&self) -> Option<Finding> {
+    pub fn probable_finding(&self) -> Option<Finding> {
         let key = (None, 0);
-        let sum = self.under_all.as_ref().unwrap_or(&self.sums).get(&key)?;
-        (sum.against(&self.new) > 0.0).then(|| self.finding(&key.0, sum))
+        let sum = self.acceptance_sums.as_ref().unwrap_or(&self.sums).get(&key)?;
+        (sum.evidence_against(&self.new) > 0.0).then(|| self.finding(&key.0, sum))
     }
 
-    fn found(&self) -> Option<Finding> {
-        let certain = self.sums.iter().find(|(_, sum)| sum.against(&self.new) >= CERTAIN);
+    fn conclusive_finding(&self) -> Option<Finding> {
+        let certain = self.sums.iter().find(|(_, sum)| sum.evidence_against(&self.new) >= REJECT_THRESHOLD);
         certain.map(|((route, _), sum)| self.finding(route, sum))
     }
 
--- a/crates/beamwall-rollout/src/evidence.rs
+++ b/crates/beamwall-rollout/src/evidence.rs
@@ -34,7 +34,7 @@
         self.bad += other.bad;
     }
 
-    fn raise(&mut self, other: Self) {
+    fn merge_max(&mut self, other: Self) {
         self.answers = self.answers.max(other.answers);
         self.bad = self.bad.max(other.bad);
     }
@@ -66,20 +66,20 @@
     }
 
     /// Raises the counts to those that the same nodes told later.
-    pub fn raise(&mut self, told: &Self) {
-        self.requests = self.requests.max(told.requests);
-        self.exposed = self.exposed.max(told.exposed);
-        self.raise_old(&told.old);
-        merge(&mut self.new, &told.new, AnswerCounts::raise);
+    pub fn merge_max(&mut self, reported: &Self) {
+        self.requests = self.requests.max(reported.requests);
+        self.exposed = self.exposed.max(reported.exposed);
+        self.merge_old_max(&reported.old);
+        merge(&mut self.new, &reported.new, AnswerCounts::merge_max);
     }
 
     /// While builds change, the relays of one zone tell the same answers in two ways: by back end, or as one sum without a name.
     /// The former replace the latter, which would else count beside them.
-    fn raise_old(&mut self, told: &CountsByBackEnd) {
-        match (tells_back_ends_apart(&self.old), tells_back_ends_apart(told)) {
+    fn merge_old_max(&mut self, reported: &CountsByBackEnd) {
+        match (is_by_back_end(&self.old), is_by_back_end(reported)) {
             (true, false) => {}
-            (false, true) => self.old.clone_from(told),
-            (true, true) | (false, false) => merge(&mut self.old, told, AnswerCounts::raise),
+            (false, true) => self.old.clone_from(reported),
+            (true, true) | (false, false) => merge(&mut self.old, reported, AnswerCounts::merge_max),
         }
     }
 
@@ -95,7 +95,7 @@
 }
 
 /// Whether counts are of back ends, not of one sum of all.
-fn tells_back_ends_apart(counts: &CountsByBackEnd) -> bool {
+fn is_by_back_end(counts: &CountsByBackEnd) -> bool {
     counts.keys().any(|(_, back_end)| !back_end.as_str().is_empty())
 }
 
--- a/crates/beamwall-rollout/src/lib.rs
+++ b/crates/beamwall-rollout/src/lib.rs
@@ -14,23 +14,23 @@
 //! This package performs no input or output. Who holds the lease on duties runs the [`Rollout`]; every node routes by the
 //! [`Stage`] that it tells, and judges its own answers.
 
-pub mod book;
 pub mod bounds;
 pub mod detector;
 pub mod evidence;
 pub mod history;
 pub mod likelihood;
 pub mod order;
+pub mod outliers;
+pub mod registry;
 pub mod rollout;
 pub mod schedule;
 pub mod stage;
 pub mod traffic;
-pub mod trouble;
 
-pub use book::{OrderNews, RolloutBook, Side, StageNews, VersionRule};
 pub use bounds::Bounds;
 pub use detector::{Detector, Finding};
 pub use evidence::{AnswerCounts, CountsByBackEnd, Evidence};
 pub use order::{OrderId, RolloutOrder};
-pub use rollout::{Rollout, Supply};
+pub use registry::{OrderUpdate, RolloutRegistry, StageUpdate, VersionChoice, VersionRule};
+pub use rollout::{Rollout, VersionCapacity};
 pub use stage::{Stage, Verdict};
--- a/crates/beamwall-rollout/src/likelihood.rs
+++ b/crates/beamwall-rollout/src/likelihood.rs
@@ -3,9 +3,9 @@
 use crate::evidence::AnswerCounts;
 
 /// Largest share of bad answers that is thought possible.
-pub const LARGEST_SHARE: f64 = 0.95;
+pub const MAX_BAD_SHARE: f64 = 0.95;
 /// Least share of bad answers that any version is thought to have.
-pub const LEAST_SHARE: f64 = 0.01;
+pub const MIN_BAD_SHARE: f64 = 0.01;
 
 /// Answers, and the bad ones among them, with weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -24,7 +24,7 @@
     }
 
     /// The same with another weight.
-    pub fn times(self, weight: f64) -> Self {
+    pub fn scaled(self, weight: f64) -> Self {
         Self { all: self.all * weight, bad: self.bad * weight }
     }
 
@@ -41,8 +41,8 @@
 }
 
 /// Logarithm of how much more likely the answers are where `worsening` is added to the `usual` share of bad ones.
-pub fn ratio(answers: Answers, usual: f64, worsening: f64) -> f64 {
-    let worse = (usual + worsening).min(LARGEST_SHARE);
+pub fn ratio(answers: Answers, usual: f64, degradation: f64) -> f64 {
+    let worse = (usual + degradation).min(MAX_BAD_SHARE);
     let good = answers.all - answers.bad;
     answers.bad * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln()
 }
--- a/crates/beamwall-rollout/src/book.rs
+++ b/crates/beamwall-rollout/src/registry.rs
@@ -14,15 +14,15 @@
 
 /// Time after which a stage that is not told again is over: nothing goes to the new version then. Shorter than any time in which
 /// a bad version must be rolled back, and longer than a told stage takes through relays to other zones.
-const TERM: Duration = Duration::from_millis(3_500);
+const STAGE_TTL: Duration = Duration::from_millis(3_500);
 
 /// Time after a success in which nothing goes to other versions: their back ends are stopped then. Later versions may come without
 /// an order, and are used as any.
-const STOPPED_WITHIN: Duration = Duration::from_secs(15);
+const OLD_VERSION_STOP_TIME: Duration = Duration::from_secs(15);
 
 /// An order as nodes tell it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct OrderNews {
+pub struct OrderUpdate {
     /// The order.
     pub order: RolloutOrder,
     /// The store's revision at which it was read last: of two orders for one service the higher one holds.
@@ -37,7 +37,7 @@
 
 /// A stage as the node tells it that holds the lease, and others after it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StageNews {
+pub struct StageUpdate {
     /// The order.
     pub order: OrderId,
     /// Epoch of the lease, and number of the telling under it: the higher one is newer.
@@ -50,13 +50,13 @@
 
 /// To which version a request goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Side {
+pub enum VersionChoice {
     /// Any but the new one.
     Old,
     /// Some back ends of the new one.
-    FewOfNew,
+    Canary,
     /// The new one, which takes all.
-    AllOfNew,
+    New,
 }
 
 /// Which back ends a request may go to during a rollout.
@@ -65,28 +65,28 @@
     order: OrderId,
     stage: Stage,
     /// The side.
-    pub side: Side,
+    pub version_choice: VersionChoice,
 }
 
 impl VersionRule {
     /// Whether back ends of a version may take the request.
     pub fn allows(&self, version: &EngineVersion) -> bool {
-        (*version == self.order.target) != (self.side == Side::Old)
+        (*version == self.order.target) != (self.version_choice == VersionChoice::Old)
     }
 
     /// The rule for the same request where no back end of the new version can take it.
     pub fn without_new(&self) -> Self {
-        Self { side: Side::Old, ..self.clone() }
+        Self { version_choice: VersionChoice::Old, ..self.clone() }
     }
 
     /// Of the new version's back ends those that take requests.
-    pub fn in_use<'a>(&self, new: &[&'a BackendId]) -> Vec<&'a BackendId> {
-        traffic::in_use(&self.order, self.stage, new)
+    pub fn active_back_ends<'a>(&self, new: &[&'a BackendId]) -> Vec<&'a BackendId> {
+        traffic::active_back_ends(&self.order, self.stage, new)
     }
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownOrder {
     order: RolloutOrder,
     revision: u64,
     began: Instant,
@@ -96,14 +96,14 @@
     is_withdrawn: bool,
     mark: (u64, u64),
     stage: Stage,
-    staged: Instant,
+    staged_at: Instant,
     own: Evidence,
     nodes: HashMap<(NodeId, u64), Evidence>,
     zones: HashMap<ZoneName, Evidence>,
 }
 
-impl Known {
-    fn new(news: OrderNews, now: Instant) -> Self {
+impl KnownOrder {
+    fn new(news: OrderUpdate, now: Instant) -> Self {
         Self {
             began: now.checked_sub(news.age).unwrap_or(now),
             order: news.order,
@@ -113,7 +113,7 @@
             is_withdrawn: news.is_withdrawn,
             mark: (0, 0),
             stage: Stage::NONE,
-            staged: now,
+            staged_at: now,
             own: Evidence::default(),
             nodes: HashMap::new(),
             zones: HashMap::new(),
@@ -128,59 +128,59 @@
         }
     }
 
-    fn is_settled(&self, now: Instant) -> bool {
-        self.succeeded.is_none_or(|at| now.saturating_duration_since(at) > STOPPED_WITHIN)
+    fn is_past_stop_time(&self, now: Instant) -> bool {
+        self.succeeded.is_none_or(|at| now.saturating_duration_since(at) > OLD_VERSION_STOP_TIME)
     }
 
     fn stage_now(&self, now: Instant) -> Stage {
-        let elapsed = now.saturating_duration_since(self.staged);
-        if elapsed > TERM { Stage::NONE } else { self.stage.after(elapsed) }
+        let elapsed = now.saturating_duration_since(self.staged_at);
+        if elapsed > STAGE_TTL { Stage::NONE } else { self.stage.after(elapsed) }
     }
 
     fn rule(&self, request: Option<&str>, now: Instant) -> Option<VersionRule> {
         let all = Stage { share: 1.0, back_ends: usize::MAX, takes_all_in: Some(Duration::ZERO) };
-        let (stage, side) = match self.verdict {
+        let (stage, version_choice) = match self.verdict {
             _ if self.is_withdrawn => return None,
-            Verdict::Succeeded if self.is_settled(now) => return None,
-            Verdict::Succeeded => (all, Side::AllOfNew),
-            Verdict::RolledBack => (Stage::NONE, Side::Old),
+            Verdict::Succeeded if self.is_past_stop_time(now) => return None,
+            Verdict::Succeeded => (all, VersionChoice::New),
+            Verdict::RolledBack => (Stage::NONE, VersionChoice::Old),
             Verdict::Running => {
                 let stage = self.stage_now(now);
-                let side = match traffic::goes_to_new(&self.order.id, stage, request) {
-                    true if stage.takes_all() => Side::AllOfNew,
-                    true => Side::FewOfNew,
-                    false => Side::Old,
+                let version_choice = match traffic::selects_new_version(&self.order.id, stage, request) {
+                    true if stage.takes_all() => VersionChoice::New,
+                    true => VersionChoice::Canary,
+                    false => VersionChoice::Old,
                 };
-                (stage, side)
+                (stage, version_choice)
             }
         };
-        Some(VersionRule { order: self.order.id.clone(), stage, side })
+        Some(VersionRule { order: self.order.id.clone(), stage, version_choice })
     }
 }
 
 /// The orders that one node knows: of each service the newest.
 #[derive(Debug, Default)]
-pub struct RolloutBook {
-    known: Mutex<BTreeMap<ServiceName, Known>>,
+pub struct RolloutRegistry {
+    known: Mutex<BTreeMap<ServiceName, KnownOrder>>,
 }
 
-impl RolloutBook {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServiceName, Known>> {
+impl RolloutRegistry {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServiceName, KnownOrder>> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes an order from the store or a peer; returns whether it says anything new.
-    pub fn hear_order(&self, news: OrderNews, now: Instant) -> bool {
-        let mut book = self.lock();
+    pub fn merge_order(&self, news: OrderUpdate, now: Instant) -> bool {
+        let mut registry = self.lock();
         let service = news.order.id.service.clone();
-        let Some(known) = book.get_mut(&service) else {
-            book.insert(service, Known::new(news, now));
+        let Some(known) = registry.get_mut(&service) else {
+            registry.insert(service, KnownOrder::new(news, now));
             return true;
         };
         if known.order.id != news.order.id {
             let is_newer = news.revision > known.revision;
             if is_newer {
-                *known = Known::new(news, now);
+                *known = KnownOrder::new(news, now);
             }
             return is_newer;
         }
@@ -197,7 +197,7 @@
     }
 
     /// Takes orders that the store does not list any more as withdrawn.
-    pub fn keep_only(&self, listed: &[ServiceName], revision: u64) -> bool {
+    pub fn withdraw_unlisted(&self, listed: &[ServiceName], revision: u64) -> bool {
         let mut changed = false;
         for (service, known) in self.lock().iter_mut() {
             if !listed.contains(service) && known.revision < revision && !known.is_withdrawn {
@@ -210,30 +210,30 @@
     }
 
     /// Takes a stage that the holder of the lease decided, or that somebody heard of.
-    pub fn hear_stage(&self, news: &StageNews, now: Instant) -> bool {
-        let mut book = self.lock();
-        let Some(known) = book.get_mut(&news.order.service) else { return false };
+    pub fn merge_stage(&self, news: &StageUpdate, now: Instant) -> bool {
+        let mut registry = self.lock();
+        let Some(known) = registry.get_mut(&news.order.service) else { return false };
         if known.order.id != news.order || news.mark <= known.mark {
             return false;
         }
         known.mark = news.mark;
         known.stage = news.stage;
-        known.staged = now.checked_sub(news.age).unwrap_or(now);
+        known.staged_at = now.checked_sub(news.age).unwrap_or(now);
         true
     }
 
     /// Notes what this node found or was told.
-    pub fn hear_verdict(&self, order: &OrderId, verdict: Verdict, now: Instant) -> bool {
-        let mut book = self.lock();
-        let known = book.get_mut(&order.service).filter(|known| known.order.id == *order);
+    pub fn merge_verdict(&self, order: &OrderId, verdict: Verdict, now: Instant) -> bool {
+        let mut registry = self.lock();
+        let known = registry.get_mut(&order.service).filter(|known| known.order.id == *order);
         let Some(known) = known.filter(|known| known.verdict < verdict) else { return false };
         known.raise_verdict(verdict, now);
         true
     }
 
     /// All orders, to be told.
-    pub fn orders(&self, now: Instant) -> Vec<OrderNews> {
-        let news = |known: &Known| OrderNews {
+    pub fn orders(&self, now: Instant) -> Vec<OrderUpdate> {
+        let news = |known: &KnownOrder| OrderUpdate {
             order: known.order.clone(),
             revision: known.revision,
             age: now.saturating_duration_since(known.began),
@@ -244,18 +244,18 @@
     }
 
     /// The stages that hold, to be told.
-    pub fn stages(&self, now: Instant) -> Vec<StageNews> {
-        let book = self.lock();
-        let holds = |known: &&Known| {
-            known.verdict == Verdict::Running && now.saturating_duration_since(known.staged) <= TERM
+    pub fn stages(&self, now: Instant) -> Vec<StageUpdate> {
+        let registry = self.lock();
+        let holds = |known: &&KnownOrder| {
+            known.verdict == Verdict::Running && now.saturating_duration_since(known.staged_at) <= STAGE_TTL
         };
-        let news = |known: &Known| StageNews {
+        let news = |known: &KnownOrder| StageUpdate {
             order: known.order.id.clone(),
             mark: known.mark,
             stage: known.stage,
-            age: now.saturating_duration_since(known.staged),
+            age: now.saturating_duration_since(known.staged_at),
         };
-        book.values().filter(holds).filter(|known| known.mark > (0, 0)).map(news).collect()
+        registry.values().filter(holds).filter(|known| known.mark > (0, 0)).map(news).collect()
     }
 
     /// Which back ends a request may go to; `None`: any.
@@ -265,8 +265,8 @@
 
     /// Whether a service's traffic is being moved: back ends of both versions run, and neither are spare ones.
     pub fn is_running(&self, service: &ServiceName) -> bool {
-        let book = self.lock();
-        book.get(service).is_some_and(|known| known.verdict == Verdict::Running && !known.is_withdrawn)
+        let registry = self.lock();
+        registry.get(service).is_some_and(|known| known.verdict == Verdict::Running && !known.is_withdrawn)
     }
 
     /// Counts a request to a service.
@@ -292,8 +292,8 @@
         version: &EngineVersion,
         is_bad: bool,
     ) {
-        let mut book = self.lock();
-        let Some(known) = book.get_mut(service) else { return };
+        let mut registry = self.lock();
+        let Some(known) = registry.get_mut(service) else { return };
         let is_new = known.order.id.target == *version;
         let answers = if is_new { &mut known.own.new } else { &mut known.own.old };
         answers.entry((route.to_owned(), back_end.clone())).or_default().note(is_bad);
@@ -311,41 +311,46 @@
 
     /// What all nodes counted.
     pub fn evidence(&self, order: &OrderId) -> Evidence {
-        let book = self.lock();
-        let known = book.get(&order.service).filter(|known| known.order.id == *order);
+        let registry = self.lock();
+        let known = registry.get(&order.service).filter(|known| known.order.id == *order);
         known.map_or_else(Evidence::default, |known| {
             sum(&known.own, known.nodes.values().chain(known.zones.values()))
         })
     }
 
-    fn collect(&self, of: impl Fn(&Known) -> Evidence) -> Vec<(OrderId, Evidence)> {
-        let book = self.lock();
-        let running = book.values().filter(|known| known.verdict == Verdict::Running && !known.is_withdrawn);
+    fn collect(&self, of: impl Fn(&KnownOrder) -> Evidence) -> Vec<(OrderId, Evidence)> {
+        let registry = self.lock();
+        let running =
+            registry.values().filter(|known| known.verdict == Verdict::Running && !known.is_withdrawn);
         running.map(|known| (known.order.id.clone(), of(known))).collect()
     }
 
     /// Takes what one life of another node counted.
-    pub fn hear_node(&self, node: &NodeId, life: u64, told: &[(OrderId, Evidence)]) {
-        self.hear(told, |known| known.nodes.entry((node.clone(), life)).or_default());
+    pub fn merge_node_evidence(&self, node: &NodeId, life: u64, reported: &[(OrderId, Evidence)]) {
+        self.merge_evidence(reported, |known| known.nodes.entry((node.clone(), life)).or_default());
     }
 
     /// Takes what the nodes of another zone counted.
-    pub fn hear_zone(&self, zone: &ZoneName, told: &[(OrderId, Evidence)]) {
-        self.hear(told, |known| known.zones.entry(zone.clone()).or_default());
+    pub fn merge_zone_evidence(&self, zone: &ZoneName, reported: &[(OrderId, Evidence)]) {
+        self.merge_evidence(reported, |known| known.zones.entry(zone.clone()).or_default());
     }
 
     /// Forgets what a node told by itself: it comes with its zone's sums from now on.
-    pub fn forget_node(&self, node: &NodeId) {
+    pub fn remove_node_evidence(&self, node: &NodeId) {
         for known in self.lock().values_mut() {
-            known.nodes.retain(|(told, _), _| told != node);
+            known.nodes.retain(|(reporter, _), _| reporter != node);
         }
     }
 
-    fn hear(&self, told: &[(OrderId, Evidence)], entry: impl Fn(&mut Known) -> &mut Evidence) {
-        let mut book = self.lock();
-        for (order, evidence) in told {
-            if let Some(known) = book.get_mut(&order.service).filter(|known| known.order.id == *order) {
-                entry(known).raise(evidence);
+    fn merge_evidence(
+        &self,
+        reported: &[(OrderId, Evidence)],
+        entry: impl Fn(&mut KnownOrder) -> &mut Evidence,
+    ) {
+        let mut registry = self.lock();
+        for (order, evidence) in reported {
+            if let Some(known) = registry.get_mut(&order.service).filter(|known| known.order.id == *order) {
+                entry(known).merge_max(evidence);
             }
         }
     }
--- a/crates/beamwall-rollout/src/rollout.rs
+++ b/crates/beamwall-rollout/src/rollout.rs
@@ -12,24 +12,24 @@
 use crate::stage::{Stage, Verdict};
 
 /// Least back ends of the new version in use: what one of them does says little of all.
-const LEAST_IN_USE: usize = 5;
+const MIN_ACTIVE_BACK_ENDS: usize = 5;
 /// Part of the old version's back ends that the new one needs before it takes all: it may be faster, and back ends that start
 /// meanwhile are ordered.
-const NEEDED_PART: f64 = 0.7;
+const MIN_CAPACITY_RATIO: f64 = 0.7;
 /// Answers of the new version without which it does not take all requests before the order's end.
-const LEAST_ANSWERS: u64 = 10;
+const MIN_ANSWERS: u64 = 10;
 /// Time after the order's end for which a version that has taken all waits for requests that still run at the old one.
-const EMPTIES_WITHIN: Duration = Duration::from_secs(15);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(15);
 /// Bad answers from which the time runs in which a bad version must be rolled back.
-const MANY_BAD: u64 = 50;
+const BAD_ANSWER_LIMIT: u64 = 50;
 /// Part of that time after which suspicion is enough: the rest is for telling all nodes.
-const DECIDED_WITHIN: f64 = 0.4;
+const DECISION_FRACTION: f64 = 0.4;
 /// Weight of the newest rate of requests.
-const NEWEST_RATE: f64 = 0.3;
+const RATE_SMOOTHING: f64 = 0.3;
 
 /// The back ends of both versions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Supply {
+pub struct VersionCapacity {
     /// Back ends of the new version that take requests.
     pub new: usize,
     /// Those of other versions.
@@ -48,7 +48,7 @@
     per_second: Option<f64>,
     last: Option<(Instant, u64)>,
     /// Since when the new version has given many bad answers.
-    many_bad_since: Option<Instant>,
+    bad_answer_limit_reached: Option<Instant>,
     stage: Stage,
     verdict: Verdict,
     finding: Option<Finding>,
@@ -64,7 +64,7 @@
             detector: Detector::default(),
             per_second: None,
             last: None,
-            many_bad_since: None,
+            bad_answer_limit_reached: None,
             stage: Stage::NONE,
             verdict: Verdict::Running,
             finding: None,
@@ -97,7 +97,7 @@
     }
 
     /// Takes a verdict that somebody else came to.
-    pub fn hear(&mut self, verdict: Verdict) {
+    pub fn apply_verdict(&mut self, verdict: Verdict) {
         self.verdict = self.verdict.max(verdict);
         if self.verdict == Verdict::RolledBack {
             self.stage = Stage::NONE;
@@ -105,37 +105,38 @@
     }
 
     /// Looks at what was counted so far, and decides.
-    pub fn look(&mut self, evidence: &Evidence, supply: Supply, now: Instant) -> Verdict {
+    pub fn evaluate(&mut self, evidence: &Evidence, capacity: VersionCapacity, now: Instant) -> Verdict {
         if self.verdict.is_final() {
             return self.verdict;
         }
-        self.finding = self.detector.look(evidence).or_else(|| self.suspicion_in_time(evidence, now));
+        self.finding =
+            self.detector.evaluate(evidence).or_else(|| self.probable_finding_near_deadline(evidence, now));
         self.note_rate(evidence, now);
         let left = self.left(now);
         let is_over = left.is_zero();
         // A version without back ends can't take the traffic by the order's end.
-        if self.finding.is_some() || is_over && !self.stage.takes_all() && supply.new == 0 {
-            self.hear(Verdict::RolledBack);
+        if self.finding.is_some() || is_over && !self.stage.takes_all() && capacity.new == 0 {
+            self.apply_verdict(Verdict::RolledBack);
             return self.verdict;
         }
-        self.stage = self.next_stage(evidence, supply, left);
+        self.stage = self.next_stage(evidence, capacity, left);
         if self.stage.takes_all() {
-            self.detector.note_takes_all();
+            self.detector.start_acceptance();
         }
-        if self.is_done(supply, now) {
+        if self.is_complete(capacity, now) {
             self.verdict = Verdict::Succeeded;
         }
         self.verdict
     }
 
     /// Suspicion, where the time in which a bad version must be rolled back runs out.
-    fn suspicion_in_time(&mut self, evidence: &Evidence, now: Instant) -> Option<Finding> {
-        if evidence.new_bad_answers() < MANY_BAD {
+    fn probable_finding_near_deadline(&mut self, evidence: &Evidence, now: Instant) -> Option<Finding> {
+        if evidence.new_bad_answers() < BAD_ANSWER_LIMIT {
             return None;
         }
-        let since = *self.many_bad_since.get_or_insert(now);
-        let is_time = now.duration_since(since) >= self.bounds.rollback.mul_f64(DECIDED_WITHIN);
-        self.detector.suspicion().filter(|_| is_time)
+        let since = *self.bad_answer_limit_reached.get_or_insert(now);
+        let is_time = now.duration_since(since) >= self.bounds.rollback.mul_f64(DECISION_FRACTION);
+        self.detector.probable_finding().filter(|_| is_time)
     }
 
     fn note_rate(&mut self, evidence: &Evidence, now: Instant) {
@@ -146,16 +147,16 @@
             }
             let newest = evidence.requests.saturating_sub(requests) as f64 / length;
             let before = self.per_second.unwrap_or(newest);
-            self.per_second = Some(before + (newest - before) * NEWEST_RATE);
+            self.per_second = Some(before + (newest - before) * RATE_SMOOTHING);
         }
         self.last = Some((now, evidence.requests));
     }
 
-    fn next_stage(&self, evidence: &Evidence, supply: Supply, left: Duration) -> Stage {
-        if supply.old == 0 {
-            return Stage { share: 1.0, back_ends: supply.new, takes_all_in: Some(Duration::ZERO) };
+    fn next_stage(&self, evidence: &Evidence, capacity: VersionCapacity, left: Duration) -> Stage {
+        if capacity.old == 0 {
+            return Stage { share: 1.0, back_ends: capacity.new, takes_all_in: Some(Duration::ZERO) };
         }
-        let Some(per_second) = self.per_second.filter(|_| supply.new > 0) else { return Stage::NONE };
+        let Some(per_second) = self.per_second.filter(|_| capacity.new > 0) else { return Stage::NONE };
         if self.stage.takes_all() {
             return self.stage;
         }
@@ -166,28 +167,28 @@
             left,
         };
         let share = schedule::share(&traffic, &self.bounds);
-        let as_full = (share * supply.old as f64).round() as usize;
-        let is_enough = supply.new as f64 >= NEEDED_PART * supply.old as f64;
-        let has_shown = evidence.new_answers() >= LEAST_ANSWERS || left.is_zero();
+        let as_full = (share * capacity.old as f64).round() as usize;
+        let is_enough = capacity.new as f64 >= MIN_CAPACITY_RATIO * capacity.old as f64;
+        let has_shown = evidence.new_answers() >= MIN_ANSWERS || left.is_zero();
         let takes_all_in = schedule::takes_all_in(&traffic, &self.bounds);
         Stage {
             share,
-            back_ends: as_full.max(LEAST_IN_USE).min(supply.new),
+            back_ends: as_full.max(MIN_ACTIVE_BACK_ENDS).min(capacity.new),
             takes_all_in: (is_enough && has_shown).then_some(takes_all_in),
         }
     }
 
     /// Whether the new version has taken everything, its answers since then speak for it, and nothing runs at the old one.
     /// The old back ends are stopped then, so a version that is not known to be good is rather late than taken.
-    fn is_done(&self, supply: Supply, now: Instant) -> bool {
-        if supply.old == 0 {
-            return supply.new > 0;
+    fn is_complete(&self, capacity: VersionCapacity, now: Instant) -> bool {
+        if capacity.old == 0 {
+            return capacity.new > 0;
         }
-        let is_late = now.saturating_duration_since(self.began) >= self.order.interval + EMPTIES_WITHIN;
-        let is_empty = supply.running_at_old == 0 || is_late;
+        let is_late = now.saturating_duration_since(self.began) >= self.order.interval + DRAIN_TIMEOUT;
+        let is_empty = capacity.running_at_old == 0 || is_late;
         self.stage.takes_all()
-            && supply.new > 0
+            && capacity.new > 0
             && is_empty
-            && self.detector.speaks_for(now > self.began + self.order.interval)
+            && self.detector.is_confirmed_good(now > self.began + self.order.interval)
     }
 }
--- a/crates/beamwall-rollout/src/schedule.rs
+++ b/crates/beamwall-rollout/src/schedule.rs
@@ -10,11 +10,11 @@
 use crate::bounds::Bounds;
 
 /// Part of what a bad version may get that is used at all: requests are counted late, and come unevenly.
-const USED_PART: f64 = 0.9;
+const USABLE_FRACTION: f64 = 0.9;
 /// Part of that which the small share uses over the whole time.
-const SHOWING_PART: f64 = 0.2;
+const CANARY_FRACTION: f64 = 0.2;
 /// Largest small share, where there are few requests.
-const LARGEST_SHARE: f64 = 0.25;
+const MAX_CANARY_SHARE: f64 = 0.25;
 
 /// What is known of a service's requests during a rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -30,27 +30,27 @@
 }
 
 impl Traffic {
-    fn still_to_come(&self) -> f64 {
+    fn expected_requests(&self) -> f64 {
         self.per_second * self.left.as_secs_f64()
     }
 
     /// Requests that the new version may get until the order's end.
     fn allowed(&self, bounds: &Bounds) -> f64 {
-        USED_PART * bounds.exposure(self.requests + self.still_to_come())
+        USABLE_FRACTION * bounds.exposure(self.requests + self.expected_requests())
     }
 }
 
 /// The small share, so that what is left of it lasts until the end.
 pub fn share(traffic: &Traffic, bounds: &Bounds) -> f64 {
-    let left = SHOWING_PART * traffic.allowed(bounds) - traffic.exposed;
-    (left / traffic.still_to_come().max(1.0)).clamp(0.0, LARGEST_SHARE)
+    let left = CANARY_FRACTION * traffic.allowed(bounds) - traffic.exposed;
+    (left / traffic.expected_requests().max(1.0)).clamp(0.0, MAX_CANARY_SHARE)
 }
 
 /// Time from now until the new version may take all requests: from then on they are no more than what is left.
 pub fn takes_all_in(traffic: &Traffic, bounds: &Bounds) -> Duration {
     let share = share(traffic, bounds);
     let left = traffic.left.as_secs_f64();
-    let spare = traffic.allowed(bounds) - traffic.exposed - share * traffic.still_to_come();
+    let spare = traffic.allowed(bounds) - traffic.exposed - share * traffic.expected_requests();
     let all_for = spare.max(0.0) / (traffic.per_second * (1.0 - share)).max(1e-9);
     Duration::from_secs_f64((left - all_for).max(0.0))
 }
--- a/crates/beamwall-rollout/src/traffic.rs
+++ b/crates/beamwall-rollout/src/traffic.rs
@@ -12,7 +12,7 @@
 
 /// Whether a request goes to the new version. `request` identifies the try; `None` where it has no identifier goes to the old
 /// one until the new version takes all.
-pub fn goes_to_new(order: &OrderId, stage: Stage, request: Option<&str>) -> bool {
+pub fn selects_new_version(order: &OrderId, stage: Stage, request: Option<&str>) -> bool {
     let share = stage.share_now();
     if share >= 1.0 {
         return true;
@@ -24,7 +24,11 @@
 }
 
 /// The back ends of the new version that take requests in a stage.
-pub fn in_use<'a>(order: &OrderId, stage: Stage, back_ends: &[&'a BackendId]) -> Vec<&'a BackendId> {
+pub fn active_back_ends<'a>(
+    order: &OrderId,
+    stage: Stage,
+    back_ends: &[&'a BackendId],
+) -> Vec<&'a BackendId> {
     if stage.takes_all() {
         return back_ends.to_vec();
     }
--- a/crates/beamwall-rollout/tests/simulation.rs
+++ b/crates/beamwall-rollout/tests/simulation.rs
@@ -5,40 +5,40 @@
 
 mod support;
 
-use support::{Badness, Fleet, Outcome, Trouble, play};
+use support::{Defect, Disruption, Fleet, Outcome, simulate};
 
 /// Plays of each case of a good version, and of a bad one.
-const PLAYS: u64 = 12;
-const PLAYS_OF_BAD: u64 = 2;
+const RUNS: u64 = 12;
+const RUNS_OF_BAD: u64 = 2;
 /// Set to play each case that many times, by hand.
-const PLAYS_BY_HAND: &str = "BEAMWALL_ROLLOUT_PLAYS";
+const RUNS_VARIABLE: &str = "BEAMWALL_ROLLOUT_PLAYS";
 
 /// Share of bad answers beside the usual ones of a slightly bad version.
-const SLIGHT: f64 = 0.05;
+const SLIGHT_DEFECT_SHARE: f64 = 0.05;
 
-fn plays(usual: u64) -> u64 {
-    std::env::var(PLAYS_BY_HAND).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn runs(usual: u64) -> u64 {
+    std::env::var(RUNS_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-fn bad_versions() -> Vec<Badness> {
+fn defects() -> Vec<Defect> {
     let mut cases = Vec::new();
     for onset in [0.0, 0.3, 0.6, 0.9] {
-        for share in [SLIGHT, 0.08, 0.2, 0.6] {
-            cases.push(Badness { onset, share, ..Badness::NONE });
+        for share in [SLIGHT_DEFECT_SHARE, 0.08, 0.2, 0.6] {
+            cases.push(Defect { onset, share, ..Defect::NONE });
         }
         // Three and eight times slower, as shares of answers that count as slow.
-        cases.push(Badness { onset, share: 0.7, ..Badness::NONE });
-        cases.push(Badness { onset, share: 0.98, ..Badness::NONE });
-        cases.push(Badness { onset, share: 0.6, route: Some(4), ..Badness::NONE });
-        cases.push(Badness { onset, share: 0.3, route: Some(2), ..Badness::NONE });
-        cases.push(Badness { onset, share: 0.4, under_load: true, ..Badness::NONE });
+        cases.push(Defect { onset, share: 0.7, ..Defect::NONE });
+        cases.push(Defect { onset, share: 0.98, ..Defect::NONE });
+        cases.push(Defect { onset, share: 0.6, route: Some(4), ..Defect::NONE });
+        cases.push(Defect { onset, share: 0.3, route: Some(2), ..Defect::NONE });
+        cases.push(Defect { onset, share: 0.4, under_load: true, ..Defect::NONE });
     }
     cases
 }
 
 #[derive(Default)]
-struct Table {
-    plays: u32,
+struct Summary {
+    runs: u32,
     rolled_back: u32,
     succeeded_in_time: u32,
     succeeded: u32,
@@ -46,9 +46,9 @@
     used_too_long: u32,
 }
 
-impl Table {
+impl Summary {
     fn note(&mut self, outcome: &Outcome) {
-        self.plays += 1;
+        self.runs += 1;
         self.rolled_back += u32::from(outcome.rolled_back);
         self.succeeded_in_time += u32::from(outcome.succeeded_in_time);
         self.succeeded += u32::from(outcome.succeeded);
@@ -56,36 +56,36 @@
     }
 
     fn share(&self, count: u32) -> f64 {
-        f64::from(count) / f64::from(self.plays.max(1))
+        f64::from(count) / f64::from(self.runs.max(1))
     }
 }
 
-fn run(fleet: Fleet, badness: Badness, trouble: Trouble, plays: u64) -> Table {
-    let mut table = Table::default();
-    for seed in 0..plays {
-        let outcome = play(fleet, badness, trouble, seed);
-        let what = format!("{fleet:?} {badness:?} {trouble:?} seed {seed}: {outcome:?}");
-        if badness.is_bad() {
+fn run(fleet: Fleet, defect: Defect, disruption: Disruption, runs: u64) -> Summary {
+    let mut summary = Summary::default();
+    for seed in 0..runs {
+        let outcome = simulate(fleet, defect, disruption, seed);
+        let what = format!("{fleet:?} {defect:?} {disruption:?} seed {seed}: {outcome:?}");
+        if defect.is_bad() {
             assert!(outcome.exposed_part <= 1.0, "exposure: {what}");
             // The old back ends are stopped then, so nothing can be taken back.
             assert!(!outcome.succeeded, "succeeded: {what}");
             if outcome.used_after_rollback {
                 println!("used too long: {what}");
-                table.used_too_long += 1;
+                summary.used_too_long += 1;
             }
         }
-        table.note(&outcome);
+        summary.note(&outcome);
     }
-    table
+    summary
 }
 
 /// All fleets with all troubles, each on a thread of its own.
-fn in_all_fleets(play_one: impl Fn(Fleet, Trouble) + Sync) {
+fn in_all_fleets(run_one: impl Fn(Fleet, Disruption) + Sync) {
     std::thread::scope(|scope| {
         for fleet in [Fleet::SMALL, Fleet::MIDDLE, Fleet::LARGE] {
-            for trouble in Trouble::ALL {
-                let play_one = &play_one;
-                scope.spawn(move || play_one(fleet, trouble));
+            for disruption in Disruption::ALL {
+                let run_one = &run_one;
+                scope.spawn(move || run_one(fleet, disruption));
             }
         }
     });
@@ -93,21 +93,21 @@
 
 #[test]
 fn bad_versions_never_get_more_than_the_bounds_allow() {
-    in_all_fleets(|fleet, trouble| {
-        let mut whole = Table::default();
-        for badness in bad_versions() {
-            let table = run(fleet, badness, trouble, plays(PLAYS_OF_BAD));
-            whole.plays += table.plays;
-            whole.rolled_back += table.rolled_back;
-            whole.most_exposed = whole.most_exposed.max(table.most_exposed);
-            whole.used_too_long += table.used_too_long;
-            assert_eq!(table.used_too_long, 0, "{fleet:?} {badness:?} {trouble:?}");
+    in_all_fleets(|fleet, disruption| {
+        let mut whole = Summary::default();
+        for defect in defects() {
+            let summary = run(fleet, defect, disruption, runs(RUNS_OF_BAD));
+            whole.runs += summary.runs;
+            whole.rolled_back += summary.rolled_back;
+            whole.most_exposed = whole.most_exposed.max(summary.most_exposed);
+            whole.used_too_long += summary.used_too_long;
+            assert_eq!(summary.used_too_long, 0, "{fleet:?} {defect:?} {disruption:?}");
         }
         println!(
-            "{} gateways, {trouble:?}: {:.0} in 100 of {} bad versions rolled back, exposed up to {:.2} of what is allowed, {} used too long",
+            "{} gateways, {disruption:?}: {:.0} in 100 of {} bad versions rolled back, exposed up to {:.2} of what is allowed, {} used too long",
             fleet.gateways,
             100.0 * whole.share(whole.rolled_back),
-            whole.plays,
+            whole.runs,
             whole.most_exposed,
             whole.used_too_long,
         );
@@ -116,18 +116,18 @@
 
 #[test]
 fn good_versions_take_the_traffic_in_time_and_are_seldom_rolled_back() {
-    in_all_fleets(|fleet, trouble| {
-        let table = run(fleet, Badness::NONE, trouble, plays(PLAYS));
-        let (in_time, back) = (table.share(table.succeeded_in_time), table.share(table.rolled_back));
+    in_all_fleets(|fleet, disruption| {
+        let summary = run(fleet, Defect::NONE, disruption, runs(RUNS));
+        let (in_time, back) = (summary.share(summary.succeeded_in_time), summary.share(summary.rolled_back));
         println!(
-            "{} gateways, {trouble:?}: {:.0} in 100 of {} good versions done in time, {:.0} later, {:.1} rolled back",
+            "{} gateways, {disruption:?}: {:.0} in 100 of {} good versions done in time, {:.0} later, {:.1} rolled back",
             fleet.gateways,
             100.0 * in_time,
-            table.plays,
-            100.0 * (table.share(table.succeeded) - in_time),
+            summary.runs,
+            100.0 * (summary.share(summary.succeeded) - in_time),
             100.0 * back,
         );
-        assert!(back < 0.02, "{fleet:?} {trouble:?}: {back} rolled back");
+        assert!(back < 0.02, "{fleet:?} {disruption:?}: {back} rolled back");
     });
 }
 
@@ -138,10 +138,10 @@
 /// version by back end showed it: 53 of 60 had 2 in 100, 7 had 40.
 #[test]
 fn a_slightly_bad_version_is_rolled_back_in_time_while_back_ends_are_in_trouble() {
-    for trouble in [Trouble::Crashes, Trouble::Grey] {
-        let badness = Badness { share: SLIGHT, ..Badness::NONE };
-        let table = run(Fleet::MIDDLE, badness, trouble, 3);
-        assert_eq!(table.used_too_long, 0, "{trouble:?}");
+    for disruption in [Disruption::Crashes, Disruption::Grey] {
+        let defect = Defect { share: SLIGHT_DEFECT_SHARE, ..Defect::NONE };
+        let summary = run(Fleet::MIDDLE, defect, disruption, 3);
+        assert_eq!(summary.used_too_long, 0, "{disruption:?}");
     }
 }
 
@@ -149,12 +149,12 @@
 /// too few answers come to be sure that each is done at all.
 #[test]
 fn good_versions_are_done_in_the_end_where_answers_are_many() {
-    in_all_fleets(|fleet, trouble| {
+    in_all_fleets(|fleet, disruption| {
         if fleet.gateways < Fleet::MIDDLE.gateways {
             return;
         }
-        let table = run(fleet, Badness::NONE, trouble, plays(PLAYS));
-        let unfinished = table.plays - table.succeeded - table.rolled_back;
-        assert_eq!(unfinished, 0, "{fleet:?} {trouble:?}");
+        let summary = run(fleet, Defect::NONE, disruption, runs(RUNS));
+        let unfinished = summary.runs - summary.succeeded - summary.rolled_back;
+        assert_eq!(unfinished, 0, "{fleet:?} {disruption:?}");
     });
 }
--- a/crates/beamwall-rollout/tests/support/mod.rs
+++ b/crates/beamwall-rollout/tests/support/mod.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use beamwall_model::BackendId;
-use beamwall_rollout::{Bounds, Evidence, OrderId, Rollout, RolloutOrder, Stage, Supply, Verdict, traffic};
+use beamwall_rollout::{
+    Bounds, Evidence, OrderId, Rollout, RolloutOrder, Stage, Verdict, VersionCapacity, traffic,
+};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -13,22 +15,22 @@
 /// Length of a step.
 const STEP_MS: u64 = 50;
 /// Time between two looks of the node that decides.
-const LOOK_MS: u64 = 250;
+const EVALUATION_INTERVAL_MS: u64 = 250;
 /// Time after which a stage that is not told again is over.
-const TERM_MS: u64 = 4_000;
+const STAGE_TTL_MS: u64 = 4_000;
 /// Length of an order.
 const INTERVAL_MS: u64 = 12_000;
 /// Time until which a play goes on.
 const END_MS: u64 = 24_000;
 /// Bad answers after which no more requests may go to a version, after the time allowed.
-const MANY_BAD: u64 = 50;
+const BAD_ANSWER_LIMIT: u64 = 50;
 /// Shares of the routes, and of bad answers of any version there.
 const ROUTES: [(f64, f64); 5] = [(0.15, 0.01), (0.35, 0.01), (0.2, 0.02), (0.24, 0.01), (0.06, 0.14)];
 /// Longest time that a stream which may not be moved runs, and its usual time.
 const STREAM_MS: (u64, u64) = (600, 200);
 
 /// Time after which the node that decides knows of a stream's end.
-const TOLD_MS: u64 = 300;
+const REPORT_DELAY_MS: u64 = 300;
 
 const BOUNDS: Bounds =
     Bounds { exposure_share: 0.1, exposure_slack: 50.0, rollback: Duration::from_millis(5_000) };
@@ -49,7 +51,7 @@
 
 /// In what way a version is bad.
 #[derive(Debug, Clone, Copy)]
-pub struct Badness {
+pub struct Defect {
     /// Part of the order's time after which it is.
     pub onset: f64,
     /// Share of its answers that are bad beside the usual ones.
@@ -60,7 +62,7 @@
     pub under_load: bool,
 }
 
-impl Badness {
+impl Defect {
     pub const NONE: Self = Self { onset: 0.0, share: 0.0, route: None, under_load: false };
 
     pub fn is_bad(&self) -> bool {
@@ -70,7 +72,7 @@
 
 /// What else happens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Disruption {
     Calm,
     /// A tenth of the back ends of both versions are down for four seconds.
     Crashes,
@@ -82,7 +84,7 @@
     Cut,
 }
 
-impl Trouble {
+impl Disruption {
     pub const ALL: [Self; 5] = [Self::Calm, Self::Crashes, Self::Grey, Self::HolderKilled, Self::Cut];
 }
 
@@ -100,9 +102,9 @@
 
 /// What a gateway was told last.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct GatewayState {
     stage: Stage,
-    said_ms: u64,
+    sent_ms: u64,
     verdict: Verdict,
 }
 
@@ -114,20 +116,20 @@
     is_bad: bool,
 }
 
-struct Play {
+struct Simulation {
     fleet: Fleet,
-    badness: Badness,
-    trouble: Trouble,
+    defect: Defect,
+    disruption: Disruption,
     random: SmallRng,
     order: OrderId,
     old: Vec<BackendId>,
     new: Vec<BackendId>,
     /// When each back end of the new version starts.
     starts_ms: Vec<u64>,
-    troubled: Vec<BackendId>,
-    trouble_ms: u64,
+    disrupted: Vec<BackendId>,
+    disruption_ms: u64,
     /// What each gateway knows, and what is on the way to it.
-    told: Vec<Told>,
+    received: Vec<GatewayState>,
     /// Answers on their way to the node that decides, by the step in which they are known.
     answers: BTreeMap<u64, Vec<Answer>>,
     requests_known: BTreeMap<u64, (u64, u64)>,
@@ -138,7 +140,7 @@
 }
 
 /// Plays one rollout.
-pub fn play(fleet: Fleet, badness: Badness, trouble: Trouble, seed: u64) -> Outcome {
+pub fn simulate(fleet: Fleet, defect: Defect, disruption: Disruption, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let ids = |prefix: &str| -> Vec<BackendId> {
         (0..fleet.back_ends).map(|number| BackendId::new(format!("{prefix}{seed}-{number}"))).collect()
@@ -146,20 +148,20 @@
     let (old, new) = (ids("old"), ids("new"));
     let starts_ms = new.iter().map(|_| random.random_range(1_000..4_000)).collect();
     let all: Vec<BackendId> = old.iter().chain(&new).cloned().collect();
-    let troubled = all.sample(&mut random, all.len() / 10).cloned().collect();
-    let trouble_ms = random.random_range(500..INTERVAL_MS);
-    let untold = Told { stage: Stage::NONE, said_ms: 0, verdict: Verdict::Running };
-    let mut play = Play {
+    let disrupted = all.sample(&mut random, all.len() / 10).cloned().collect();
+    let disruption_ms = random.random_range(500..INTERVAL_MS);
+    let initial = GatewayState { stage: Stage::NONE, sent_ms: 0, verdict: Verdict::Running };
+    let mut simulation = Simulation {
         fleet,
-        badness,
-        trouble,
+        defect,
+        disruption,
         order: OrderId { service: "pool".into(), target: "v2".into(), made: seed },
         old,
         new,
         starts_ms,
-        troubled,
-        trouble_ms,
-        told: vec![untold; fleet.gateways],
+        disrupted,
+        disruption_ms,
+        received: vec![initial; fleet.gateways],
         answers: BTreeMap::new(),
         requests_known: BTreeMap::new(),
         old_ends_ms: Vec::new(),
@@ -168,43 +170,43 @@
         requests: 0,
         random,
     };
-    play.run()
+    simulation.run()
 }
 
-impl Play {
+impl Simulation {
     fn run(&mut self) -> Outcome {
         let began = Instant::now();
         let order = RolloutOrder { id: self.order.clone(), interval: Duration::from_millis(INTERVAL_MS) };
         let mut rollout = Rollout::new(order.clone(), BOUNDS, began);
         let mut evidence = Evidence::default();
-        let mut news: BTreeMap<u64, Vec<(usize, Told)>> = BTreeMap::new();
+        let mut in_flight: BTreeMap<u64, Vec<(usize, GatewayState)>> = BTreeMap::new();
         let mut outcome = Outcome::default();
         for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
-            for (gateway, told) in news.remove(&now_ms).unwrap_or_default() {
-                let known = &mut self.told[gateway];
-                let verdict = known.verdict.max(told.verdict);
-                *known = if told.said_ms >= known.said_ms { told } else { *known };
+            for (gateway, received) in in_flight.remove(&now_ms).unwrap_or_default() {
+                let known = &mut self.received[gateway];
+                let verdict = known.verdict.max(received.verdict);
+                *known = if received.sent_ms >= known.sent_ms { received } else { *known };
                 known.verdict = verdict;
             }
             self.send_requests(now_ms);
             self.count(now_ms, &mut evidence);
-            let is_killed = self.trouble == Trouble::HolderKilled
-                && (self.trouble_ms..self.trouble_ms + 5_000).contains(&now_ms);
+            let is_killed = self.disruption == Disruption::HolderKilled
+                && (self.disruption_ms..self.disruption_ms + 5_000).contains(&now_ms);
             if is_killed && !rollout.verdict().is_final() {
                 // Whoever follows knows the order, when it was given, and what is counted.
                 rollout = Rollout::new(order.clone(), BOUNDS, began);
                 continue;
             }
-            if !now_ms.is_multiple_of(LOOK_MS) {
+            if !now_ms.is_multiple_of(EVALUATION_INTERVAL_MS) {
                 continue;
             }
             let now = began + Duration::from_millis(now_ms);
-            let verdict = rollout.look(&evidence, self.supply(now_ms), now);
-            let told = Told { stage: rollout.stage(), said_ms: now_ms, verdict };
+            let verdict = rollout.evaluate(&evidence, self.capacity(now_ms), now);
+            let received = GatewayState { stage: rollout.stage(), sent_ms: now_ms, verdict };
             for gateway in 0..self.fleet.gateways {
                 let delay_ms = self.random.random_range(2..=24) * STEP_MS;
-                if !self.is_cut(gateway, now_ms) {
-                    news.entry(now_ms + delay_ms).or_default().push((gateway, told));
+                if !self.is_partitioned(gateway, now_ms) {
+                    in_flight.entry(now_ms + delay_ms).or_default().push((gateway, received));
                 }
             }
             if verdict == Verdict::Succeeded && !outcome.succeeded {
@@ -213,25 +215,25 @@
             }
             outcome.rolled_back = verdict == Verdict::RolledBack;
         }
-        self.judge(outcome)
+        self.finish_outcome(outcome)
     }
 
-    fn judge(&self, mut outcome: Outcome) -> Outcome {
+    fn finish_outcome(&self, mut outcome: Outcome) -> Outcome {
         let exposed = self.sent_to_new.iter().filter(|at| **at < INTERVAL_MS).count() as f64;
         outcome.exposed_part = exposed / BOUNDS.exposure(self.requests as f64);
         let mut bad = self.bad_answers.clone();
         bad.sort_unstable();
-        if let Some(many) = bad.get(MANY_BAD as usize - 1) {
+        if let Some(many) = bad.get(BAD_ANSWER_LIMIT as usize - 1) {
             let limit = many + BOUNDS.rollback.as_millis() as u64;
             outcome.used_after_rollback = self.sent_to_new.iter().any(|at| *at > limit);
         }
         outcome
     }
 
-    fn is_cut(&self, gateway: usize, now_ms: u64) -> bool {
-        self.trouble == Trouble::Cut
+    fn is_partitioned(&self, gateway: usize, now_ms: u64) -> bool {
+        self.disruption == Disruption::Cut
             && gateway.is_multiple_of(2)
-            && (self.trouble_ms..self.trouble_ms + 5_000).contains(&now_ms)
+            && (self.disruption_ms..self.disruption_ms + 5_000).contains(&now_ms)
     }
 
     fn usable_new(&self, now_ms: u64) -> Vec<&BackendId> {
@@ -239,11 +241,12 @@
         started.map(|(id, _)| id).collect()
     }
 
-    fn supply(&self, now_ms: u64) -> Supply {
-        Supply {
+    fn capacity(&self, now_ms: u64) -> VersionCapacity {
+        VersionCapacity {
             new: self.usable_new(now_ms).len(),
             old: self.old.len(),
-            running_at_old: self.old_ends_ms.iter().filter(|ends| **ends + TOLD_MS > now_ms).count() as u64,
+            running_at_old: self.old_ends_ms.iter().filter(|ends| **ends + REPORT_DELAY_MS > now_ms).count()
+                as u64,
         }
     }
 
@@ -257,20 +260,22 @@
                 self.requests += 1;
             }
             let gateway = self.random.random_range(0..self.fleet.gateways);
-            let told = self.told[gateway];
-            let elapsed_ms = now_ms - told.said_ms.min(now_ms);
-            let is_valid = elapsed_ms <= TERM_MS && told.verdict != Verdict::RolledBack;
-            let stage = if told.verdict == Verdict::Succeeded {
+            let received = self.received[gateway];
+            let elapsed_ms = now_ms - received.sent_ms.min(now_ms);
+            let is_valid = elapsed_ms <= STAGE_TTL_MS && received.verdict != Verdict::RolledBack;
+            let stage = if received.verdict == Verdict::Succeeded {
                 Stage { share: 1.0, back_ends: usize::MAX, takes_all_in: Some(Duration::ZERO) }
             } else if is_valid {
-                told.stage.after(Duration::from_millis(elapsed_ms))
+                received.stage.after(Duration::from_millis(elapsed_ms))
             } else {
                 Stage::NONE
             };
             let request = self.random.random::<u64>().to_string();
-            let in_use = traffic::in_use(&self.order, stage, &usable);
-            let is_new = !in_use.is_empty() && traffic::goes_to_new(&self.order, stage, Some(&request));
-            let chosen = if is_new { in_use.choose(&mut self.random).map(|id| (*id).clone()) } else { None };
+            let active_back_ends = traffic::active_back_ends(&self.order, stage, &usable);
+            let is_new = !active_back_ends.is_empty()
+                && traffic::selects_new_version(&self.order, stage, Some(&request));
+            let chosen =
+                if is_new { active_back_ends.choose(&mut self.random).map(|id| (*id).clone()) } else { None };
             self.answer(now_ms, stage, chosen);
         }
     }
@@ -284,13 +289,13 @@
         };
         let mut bad_share = ROUTES[route].1;
         if new.is_some() && self.is_bad_now(now_ms, stage, route) {
-            bad_share += (1.0 - bad_share) * self.badness.share;
+            bad_share += (1.0 - bad_share) * self.defect.share;
         }
-        let is_troubled = self.troubled.contains(&id);
-        let is_down = (self.trouble_ms..self.trouble_ms + 4_000).contains(&now_ms);
-        match self.trouble {
-            Trouble::Crashes if is_troubled && is_down => bad_share = 1.0,
-            Trouble::Grey if is_troubled => bad_share += 0.4,
+        let is_disrupted = self.disrupted.contains(&id);
+        let is_down = (self.disruption_ms..self.disruption_ms + 4_000).contains(&now_ms);
+        match self.disruption {
+            Disruption::Crashes if is_disrupted && is_down => bad_share = 1.0,
+            Disruption::Grey if is_disrupted => bad_share += 0.4,
             _ => {}
         }
         let is_bad = self.random.random::<f64>() < bad_share;
@@ -306,12 +311,12 @@
         }
         // Nodes tell each other at once while the new version takes all.
         let most = if stage.takes_all() { 7 } else { 24 };
-        let told_ms = self.random.random_range(2..=most) * STEP_MS;
+        let report_delay_ms = self.random.random_range(2..=most) * STEP_MS;
         let exposed = u64::from(new.is_some());
-        let counted = self.requests_known.entry(now_ms + told_ms).or_default();
+        let counted = self.requests_known.entry(now_ms + report_delay_ms).or_default();
         *counted = (counted.0 + 1, counted.1 + exposed);
         let answer = Answer { route, back_end: id, is_new: new.is_some(), is_bad };
-        self.answers.entry(now_ms + takes_ms + told_ms).or_default().push(answer);
+        self.answers.entry(now_ms + takes_ms + report_delay_ms).or_default().push(answer);
     }
 
     fn draw_route(&mut self) -> usize {
@@ -326,11 +331,11 @@
     }
 
     fn is_bad_now(&self, now_ms: u64, stage: Stage, route: usize) -> bool {
-        let has_begun = now_ms as f64 >= self.badness.onset * INTERVAL_MS as f64;
-        let on_route = self.badness.route.is_none_or(|bad| bad == route);
-        let in_use = if stage.takes_all() { self.new.len() } else { stage.back_ends.max(1) };
-        let load = stage.share_now() * self.old.len() as f64 / in_use as f64;
-        has_begun && on_route && (!self.badness.under_load || load >= 0.6)
+        let has_begun = now_ms as f64 >= self.defect.onset * INTERVAL_MS as f64;
+        let on_route = self.defect.route.is_none_or(|bad| bad == route);
+        let active_back_ends = if stage.takes_all() { self.new.len() } else { stage.back_ends.max(1) };
+        let load = stage.share_now() * self.old.len() as f64 / active_back_ends as f64;
+        has_begun && on_route && (!self.defect.under_load || load >= 0.6)
     }
 
     fn count(&mut self, now_ms: u64, evidence: &mut Evidence) {
