--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -123,7 +123,7 @@
     }
 
     fn may_repeat(&self, forwarder: &Forwarder, call: &Call) -> bool {
-        let is_held = call.admission == Admission::Usual && forwarder.quarantine.is_held(&call.fingerprint);
+        let is_held = call.admission == Admission::Normal && forwarder.quarantine.is_held(&call.fingerprint);
         let may_run_again = call.route.kind.is_idempotent() || !self.may_have_run;
         !is_held && may_run_again && !call.remaining().is_zero()
     }
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -6,7 +6,7 @@
 use beamwall_clock::running;
 use beamwall_engine_model::{EngineModels, Reading, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
-use beamwall_rollout::{Side, VersionRule};
+use beamwall_rollout::{VersionChoice, VersionRule};
 use rand::seq::SliceRandom;
 use tokio::time::Instant;
 
@@ -185,10 +185,10 @@
 ) -> Vec<&'a Backend> {
     let Some(rule) = versions else { return back_ends.collect() };
     let allowed: Vec<&Backend> = back_ends.filter(|backend| rule.allows(&backend.version)).collect();
-    if rule.side != Side::FewOfNew {
+    if rule.version_choice != VersionChoice::Canary {
         return allowed;
     }
     let ids: Vec<&BackendId> = allowed.iter().map(|backend| &backend.id).collect();
-    let in_use = rule.in_use(&ids);
+    let in_use = rule.active_back_ends(&ids);
     allowed.into_iter().filter(|backend| in_use.contains(&&backend.id)).collect()
 }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -12,7 +12,7 @@
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use beamwall_policy::{Route, TenantRef};
 use beamwall_quarantine::{Admission, Fingerprint};
-use beamwall_rollout::{RolloutBook, Side, VersionRule};
+use beamwall_rollout::{RolloutRegistry, VersionChoice, VersionRule};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use tokio::time::Instant;
@@ -102,7 +102,7 @@
     /// Back ends to which it may be sent.
     pub fn attempt_limit(&self) -> u32 {
         match self.admission {
-            Admission::Usual => self.route.attempt_limit.max(1),
+            Admission::Normal => self.route.attempt_limit.max(1),
             Admission::Trial => 1,
         }
     }
@@ -150,7 +150,7 @@
     /// Work that callers ask for.
     pub demand: DemandBook,
     /// Rollouts of other versions.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutRegistry,
     /// Requests under which back ends end.
     pub quarantine: Arc<Quarantine>,
     /// Retry budgets.
@@ -202,7 +202,7 @@
         avoided: &[BackendId],
         versions: Option<&VersionRule>,
     ) -> Option<Choice> {
-        if let Some(rule) = versions.filter(|rule| rule.side == Side::FewOfNew) {
+        if let Some(rule) = versions.filter(|rule| rule.version_choice == VersionChoice::Canary) {
             let chosen = self.choose_as_sender(call, avoided, Some(rule));
             let old = rule.without_new();
             return chosen.or_else(|| self.choose_as_sender(call, avoided, Some(&old)));
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -12,7 +12,7 @@
 use beamwall_events::internal_events::{BackendEnded, RequestFreed, RequestHeld, TrialGranted};
 use beamwall_http::{Pool, Reachability};
 use beamwall_model::BackendId;
-use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest, QuarantineBook, Standing};
+use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest, QuarantineRegistry, RequestStatus};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -66,7 +66,7 @@
 /// What one node does about requests under which back ends end.
 pub struct Quarantine {
     /// What is known of them.
-    pub book: Arc<QuarantineBook>,
+    pub book: Arc<QuarantineRegistry>,
     /// Told when peers should hear what this node saw.
     pub news: Notify,
     losses: LostAnswers,
@@ -81,7 +81,7 @@
 impl Quarantine {
     /// What is done at one node.
     pub fn new(
-        book: Arc<QuarantineBook>,
+        book: Arc<QuarantineRegistry>,
         pool: Pool,
         backends: Arc<dyn ListedBackends>,
         clock: Arc<FleetClock>,
@@ -101,12 +101,12 @@
     pub async fn admit(&self, request: &Fingerprint) -> Result<Admission, HeldRequest> {
         // Nearly all requests pass here, without working out the agreed time of day: that takes longer than all the rest.
         if !self.is_held(request) {
-            return Ok(Admission::Usual);
+            return Ok(Admission::Normal);
         }
-        match self.book.standing(request, self.now_ms()) {
-            Standing::Free => Ok(Admission::Usual),
-            Standing::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
-            Standing::TrialDue { number, endings, is_in_doubt } => {
+        match self.book.request_status(request, self.now_ms()) {
+            RequestStatus::Free => Ok(Admission::Normal),
+            RequestStatus::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
+            RequestStatus::TrialDue { number, endings, is_in_doubt } => {
                 if self.take_trial(request, number).await {
                     return Ok(Admission::Trial);
                 }
@@ -135,7 +135,7 @@
 
     /// Notes that a back end answered a request whole, and so lives.
     pub fn note_completed(&self, request: &Fingerprint) {
-        if self.book.is_accused(request) && self.book.note_completion(request, self.now_ms()) {
+        if self.book.is_suspected(request) && self.book.note_completion(request, self.now_ms()) {
             self.tell();
         }
     }
@@ -156,7 +156,7 @@
     /// The same. Of a request against which the end of a back end tells already, it is waited until it is known whether this one
     /// ended too: else the next back end gets it meanwhile.
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
-        let is_accused = self.book.is_accused(&request);
+        let is_accused = self.book.is_suspected(&request);
         self.note_lost(request, backend);
         while is_accused && self.losses.is_probed(backend) && !self.is_held(&request) {
             tokio::time::sleep(PROBE_CHECK_PERIOD).await;
@@ -183,7 +183,7 @@
             return;
         }
         if open.is_empty() {
-            self.book.note_other_end(backend, self.now_ms());
+            self.book.note_unattributed_termination(backend, self.now_ms());
         } else {
             self.count(backend, open);
         }
@@ -202,7 +202,7 @@
     pub async fn next_untold(&self) -> Evidence {
         loop {
             self.news.notified().await;
-            let untold = self.book.take_untold();
+            let untold = self.book.take_unsent();
             if !untold.is_empty() {
                 return untold;
             }
@@ -211,21 +211,21 @@
 
     /// Takes what others tell; gives what of it was new here.
     pub fn hear(&self, evidence: Evidence) -> Evidence {
-        let new = self.book.hear(evidence, self.now_ms());
+        let new = self.book.merge_evidence(evidence, self.now_ms());
         self.log_changes();
         new
     }
 
     /// Forgets what is old.
     pub fn forget_old(&self) {
-        self.book.forget_old(self.now_ms());
+        self.book.remove_expired(self.now_ms());
         self.log_changes();
     }
 
     fn count(&self, backend: &BackendId, open: Vec<Fingerprint>) {
         let requests: Vec<String> = open.iter().map(Fingerprint::to_string).collect();
         emit(&BackendEnded { backend: backend.to_string(), open: requests.join(",") });
-        self.book.note_ending(backend, open, self.now_ms());
+        self.book.note_termination(backend, open, self.now_ms());
         self.tell();
     }
 
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -24,8 +24,8 @@
 };
 use beamwall_http::Pool;
 use beamwall_model::ChoiceStrategy;
-use beamwall_quarantine::{Fingerprint, QuarantineBook};
-use beamwall_rollout::RolloutBook;
+use beamwall_quarantine::{Fingerprint, QuarantineRegistry};
+use beamwall_rollout::RolloutRegistry;
 use hyper::{HeaderMap, StatusCode};
 use tokio::time::Instant;
 
@@ -68,7 +68,7 @@
 fn forwarder(engines: usize, retries: f64) -> Forwarder {
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
-    let book: Arc<QuarantineBook> = Arc::default();
+    let book: Arc<QuarantineRegistry> = Arc::default();
     let quarantine = Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(Unused));
     let allowance =
         RetryAllowance { earned_percent: 100, saved_percent: 0, extra: retries, window: SECOND * 10 };
@@ -82,7 +82,7 @@
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
         placement: Arc::new(Unused),
         demand: DemandBook::default(),
-        rollouts: RolloutBook::default(),
+        rollouts: RolloutRegistry::default(),
         quarantine: Arc::new(quarantine),
         retries: RetryBudgets::new(allowance, 1),
         usage: UsageLedger::new(SECOND),
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -12,7 +12,7 @@
 use beamwall_gateway::{Backend, Directory, Vanishing};
 use beamwall_http::Pool;
 use beamwall_model::BackendId;
-use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineBook};
+use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineRegistry};
 
 /// Grants no trial.
 struct NoTrials;
@@ -36,7 +36,7 @@
 
 fn quarantine() -> (Arc<Quarantine>, Arc<ArcSwap<Directory>>) {
     let directory: Arc<ArcSwap<Directory>> = Arc::default();
-    let book: Arc<QuarantineBook> = Arc::default();
+    let book: Arc<QuarantineRegistry> = Arc::default();
     let pool = Pool::new(Duration::from_millis(400));
     let quarantine = Quarantine::new(book, pool, directory.clone(), Arc::default(), Arc::new(NoTrials));
     (Arc::new(quarantine), directory)
@@ -52,7 +52,7 @@
     let names = ["i-1", "i-2", "i-3"];
     list(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
     for name in names {
-        assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
+        assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Normal));
         quarantine.note_lost(request(), &BackendId::new(name));
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -74,5 +74,5 @@
         quarantine.note_ended(&BackendId::new(name));
     }
     assert_eq!(quarantine.book.suspects(), 0);
-    assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
+    assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Normal));
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -120,7 +120,7 @@
     };
     Call {
         fingerprint: Default::default(),
-        admission: Admission::Usual,
+        admission: Admission::Normal,
         request_id: None,
         method: hyper::Method::POST,
         target: hyper::Uri::from_static("/"),
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -8,7 +8,9 @@
 use beamwall_events::internal_events::{RolloutDecided, RolloutStaged, RolloutStatusNotWritten};
 use beamwall_gateway::Gateway;
 use beamwall_gateway::ports::RolloutStore;
-use beamwall_rollout::{Bounds, Finding, OrderId, OrderNews, Rollout, StageNews, Supply, Verdict};
+use beamwall_rollout::{
+    Bounds, Finding, OrderId, OrderUpdate, Rollout, StageUpdate, Verdict, VersionCapacity,
+};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -53,7 +55,7 @@
         }
     }
 
-    fn decide(&self, tenure: &mut RolloutTenure, news: &OrderNews, epoch: u64, now: Instant) {
+    fn decide(&self, tenure: &mut RolloutTenure, news: &OrderUpdate, epoch: u64, now: Instant) {
         let book = &self.gateway.forwarder.rollouts;
         let id = &news.order.id;
         let began = now.checked_sub(news.age).unwrap_or(now);
@@ -61,13 +63,13 @@
             .running
             .entry(id.clone())
             .or_insert_with(|| Rollout::new(news.order.clone(), self.bounds, began));
-        rollout.hear(news.verdict);
+        rollout.apply_verdict(news.verdict);
         let was_final = rollout.verdict().is_final();
         let supply = self.supply(id);
-        let verdict = rollout.look(&book.evidence(id), supply, now);
+        let verdict = rollout.evaluate(&book.evidence(id), supply, now);
         if verdict.is_final() && !was_final {
             log_decision(rollout, verdict, supply);
-            book.hear_verdict(id, verdict, now);
+            book.merge_verdict(id, verdict, now);
         }
         let stage = rollout.stage();
         if stage.takes_all() && tenure.staged.insert(id.clone()) {
@@ -82,7 +84,7 @@
         if !was_final {
             tenure.tellings += 1;
             let mark = (epoch, tenure.tellings);
-            book.hear_stage(&StageNews { order: id.clone(), mark, stage, age: Duration::ZERO }, now);
+            book.merge_stage(&StageUpdate { order: id.clone(), mark, stage, age: Duration::ZERO }, now);
             self.news.notify_one();
         }
     }
@@ -104,10 +106,10 @@
         }
     }
 
-    fn supply(&self, id: &OrderId) -> Supply {
+    fn supply(&self, id: &OrderId) -> VersionCapacity {
         let directory = self.gateway.forwarder.directory.load();
         let loads = &self.gateway.forwarder.knowledge.loads;
-        let mut supply = Supply::default();
+        let mut supply = VersionCapacity::default();
         for backend in directory.backends().filter(|backend| backend.service == id.service) {
             let is_new = backend.version == id.target;
             supply.new += usize::from(is_new && !backend.draining);
@@ -120,7 +122,7 @@
     }
 }
 
-fn log_decision(rollout: &Rollout, verdict: Verdict, supply: Supply) {
+fn log_decision(rollout: &Rollout, verdict: Verdict, supply: VersionCapacity) {
     let id = &rollout.order().id;
     emit(&RolloutDecided {
         service: id.service.to_string(),
--- a/crates/beamwall-node/src/gateway/kept_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/kept_quarantine.rs
@@ -12,7 +12,7 @@
 use beamwall_events::internal_events::HeldRequestsNotKept;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::quarantine::TrialPort;
-use beamwall_quarantine::{Evidence, Fingerprint, QuarantineBook, Suspect};
+use beamwall_quarantine::{Evidence, Fingerprint, QuarantineRegistry, Suspect};
 use beamwall_store::object::{ABSENT, Object, ObjectError, VersionedObjects};
 use bytes::Bytes;
 
@@ -29,7 +29,7 @@
 /// The object in the store.
 pub struct KeptQuarantine {
     objects: Arc<dyn VersionedObjects>,
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     /// The digest of what was last written.
     written: AtomicU64,
@@ -40,7 +40,7 @@
     /// What is kept of `book`.
     pub fn new(
         objects: Arc<dyn VersionedObjects>,
-        book: Arc<QuarantineBook>,
+        book: Arc<QuarantineRegistry>,
         clock: Arc<FleetClock>,
     ) -> Self {
         Self { objects, book, clock, written: AtomicU64::default(), writes: Throttle::default() }
@@ -49,7 +49,7 @@
     /// Writes what is held where it has changed; run by the node that holds the lease on duties. A failure is said and
     /// tried again a period later.
     pub async fn keep_due(&self) {
-        let digest = self.book.kept_digest();
+        let digest = self.book.persistent_digest();
         if digest == self.written.load(Ordering::Relaxed) || !self.writes.admit(KEEP_PERIOD) {
             return;
         }
@@ -62,7 +62,7 @@
     /// Reads what is kept, at a start. Without it the node hears of held requests from its peers.
     pub async fn recall(&self) {
         if let Some(object) = read_at_start(self.objects.as_ref(), KEY, tell_not_kept).await {
-            self.book.hear(decode(&read(&object)), self.clock.now_ms());
+            self.book.merge_evidence(decode(&read(&object)), self.clock.now_ms());
         }
     }
 
@@ -71,9 +71,9 @@
         let stored = self.objects.get(KEY).await?;
         if let Some(stored) = &stored {
             // A trial may have been granted to a node that has not told of it.
-            self.book.hear(decode(&read(stored)), self.clock.now_ms());
+            self.book.merge_evidence(decode(&read(stored)), self.clock.now_ms());
         }
-        let mut kept = encode(self.book.kept());
+        let mut kept = encode(self.book.persistent_suspects());
         if !change(&mut kept) {
             return Ok(false);
         }
@@ -125,5 +125,5 @@
 fn decode(kept: &KeptRequests) -> Evidence {
     let named = kept.iter().filter_map(|(name, suspect)| Some((Fingerprint::from_hex(name)?, suspect)));
     let suspects: Vec<(Fingerprint, &Suspect)> = named.collect();
-    Evidence::of(suspects.iter().map(|(request, suspect)| (request, *suspect)))
+    Evidence::from_suspects(suspects.iter().map(|(request, suspect)| (request, *suspect)))
 }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -62,8 +62,8 @@
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork, TransferPacer};
 use beamwall_policy::PolicyArchive;
-use beamwall_quarantine::QuarantineBook;
-use beamwall_rollout::RolloutBook;
+use beamwall_quarantine::QuarantineRegistry;
+use beamwall_rollout::RolloutRegistry;
 use beamwall_store::VersionedObjects;
 use kameo::actor::Spawn;
 use prometheus::Registry;
@@ -160,7 +160,7 @@
         let life = new_incarnation();
         let members = Arc::new(ArcSwap::default());
         let placement = Arc::new(PeerPlacement::new(&settings, network.clone(), members.clone()));
-        let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
+        let (book, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
         let kept_quarantine = KeptQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
         let kept_quarantine = Arc::new(kept_quarantine);
         let quarantine = QuarantineParts { book, clock, trials: kept_quarantine.clone() };
@@ -276,7 +276,7 @@
 
 /// What the gateway's quarantine is made of beside what it forwards with.
 struct QuarantineParts {
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
 }
@@ -320,7 +320,7 @@
         chooser: Chooser::new(settings.choice),
         placement,
         demand: DemandBook::default(),
-        rollouts: RolloutBook::default(),
+        rollouts: RolloutRegistry::default(),
         retries: RetryBudgets::new(retries, nodes),
         usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, life),
         clock,
--- a/crates/beamwall-node/src/gateway/quarantine_news.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_news.rs
@@ -53,7 +53,7 @@
 
     /// Tells a peer all that is known here, as soon as the link has room for it: until then its next question comes.
     pub(super) fn answer_quarantine(&self, envelope: &Envelope) {
-        let whole = encode(&self.gateway.forwarder.quarantine.book.whole());
+        let whole = encode(&self.gateway.forwarder.quarantine.book.all_evidence());
         if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
             self.reply(envelope, Body::QuarantineNews(whole));
         }
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -3,11 +3,11 @@
 use beamwall_model::BackendId;
 use beamwall_peer::quarantine_message::{QuarantineNews, ToldCompletion, ToldEnding, ToldTrial};
 use beamwall_quarantine::fingerprint::FINGERPRINT_BYTES;
-use beamwall_quarantine::{Completion, Ending, Evidence, Fingerprint, Trial};
+use beamwall_quarantine::{Completion, Evidence, Fingerprint, Termination, Trial};
 
 /// Evidence as told.
 pub fn encode(evidence: &Evidence) -> QuarantineNews {
-    let ending = |ending: &Ending| ToldEnding {
+    let ending = |ending: &Termination| ToldEnding {
         backend: ending.backend.to_string(),
         at_ms: ending.at_ms,
         open: ending.open.iter().flat_map(|request| *request.as_bytes()).collect(),
@@ -30,7 +30,7 @@
 
 /// Evidence as heard; what names no request is passed over.
 pub fn decode(news: &QuarantineNews) -> Evidence {
-    let ending = |told: &ToldEnding| Ending {
+    let ending = |told: &ToldEnding| Termination {
         backend: BackendId::new(&told.backend),
         at_ms: told.at_ms,
         open: told.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -8,7 +8,7 @@
     RolloutNews, ToldAnswers, ToldEvidence, ToldOrder, ToldOrderId, ToldStage,
 };
 use beamwall_rollout::{
-    AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderNews, RolloutOrder, Stage, StageNews, Verdict,
+    AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderUpdate, RolloutOrder, Stage, StageUpdate, Verdict,
 };
 
 fn encode_id(id: &OrderId) -> Option<ToldOrderId> {
@@ -42,8 +42,8 @@
 
 /// What is told of rollouts; `None` where there are none.
 pub fn encode(
-    orders: Vec<OrderNews>,
-    stages: Vec<StageNews>,
+    orders: Vec<OrderUpdate>,
+    stages: Vec<StageUpdate>,
     evidence: Vec<(OrderId, Evidence)>,
 ) -> Option<RolloutNews> {
     (!orders.is_empty()).then(|| RolloutNews {
@@ -53,7 +53,7 @@
     })
 }
 
-fn encode_order(news: &OrderNews) -> ToldOrder {
+fn encode_order(news: &OrderUpdate) -> ToldOrder {
     ToldOrder {
         id: encode_id(&news.order.id),
         interval_ms: to_ms(news.order.interval),
@@ -64,7 +64,7 @@
     }
 }
 
-fn encode_stage(news: &StageNews) -> ToldStage {
+fn encode_stage(news: &StageUpdate) -> ToldStage {
     ToldStage {
         id: encode_id(&news.order),
         epoch: news.mark.0,
@@ -114,9 +114,9 @@
 }
 
 /// Orders as heard.
-pub fn decode_orders(news: &RolloutNews) -> Vec<OrderNews> {
+pub fn decode_orders(news: &RolloutNews) -> Vec<OrderUpdate> {
     let decode = |told: &ToldOrder| {
-        Some(OrderNews {
+        Some(OrderUpdate {
             order: RolloutOrder {
                 id: decode_id(told.id.as_ref())?,
                 interval: Duration::from_millis(told.interval_ms),
@@ -131,9 +131,9 @@
 }
 
 /// Stages as heard.
-pub fn decode_stages(news: &RolloutNews) -> Vec<StageNews> {
+pub fn decode_stages(news: &RolloutNews) -> Vec<StageUpdate> {
     let decode = |told: &ToldStage| {
-        Some(StageNews {
+        Some(StageUpdate {
             order: decode_id(told.id.as_ref())?,
             mark: (told.epoch, told.number),
             stage: Stage {
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -10,7 +10,7 @@
 use beamwall_gateway::ports::{ListedOrder, ListedOrders, RolloutStore};
 use beamwall_model::{NodeId, ServiceName, ZoneName};
 use beamwall_peer::rollout_message::RolloutNews;
-use beamwall_rollout::{OrderNews, RolloutBook};
+use beamwall_rollout::{OrderUpdate, RolloutRegistry};
 
 use crate::gateway::exchange::Exchange;
 use crate::gateway::rollout_wire;
@@ -68,7 +68,7 @@
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
         let book = self.exchange.rollouts();
-        let mut has_changed = book.keep_only(&services, listed.revision);
+        let mut has_changed = book.withdraw_unlisted(&services, listed.revision);
         for order in listed.orders {
             has_changed |= take_order(book, order);
         }
@@ -79,8 +79,8 @@
     }
 }
 
-fn take_order(book: &RolloutBook, listed: ListedOrder) -> bool {
-    let news = OrderNews {
+fn take_order(book: &RolloutRegistry, listed: ListedOrder) -> bool {
+    let news = OrderUpdate {
         order: listed.order,
         revision: listed.revision,
         age: Duration::ZERO,
@@ -91,7 +91,7 @@
 }
 
 /// Takes an order; what it says anew is logged.
-fn hear_order(book: &RolloutBook, news: OrderNews) -> bool {
+fn hear_order(book: &RolloutRegistry, news: OrderUpdate) -> bool {
     let event = RolloutOrdered {
         service: news.order.id.service.to_string(),
         target: news.order.id.target.to_string(),
@@ -99,7 +99,7 @@
         verdict: format!("{:?}", news.verdict),
         withdrawn: news.is_withdrawn.to_string(),
     };
-    let is_new = book.hear_order(news, beamwall_clock::now());
+    let is_new = book.merge_order(news, beamwall_clock::now());
     if is_new {
         emit(&event);
     }
@@ -108,7 +108,7 @@
 
 impl Exchange {
     /// The orders as this node knows them.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutRegistry {
         &self.gateway.forwarder.rollouts
     }
 
@@ -127,13 +127,13 @@
     /// Takes what a node tells of rollouts and counted itself.
     pub(super) fn take_rollouts_of_node(&self, node: &NodeId, life: u64, news: &RolloutNews) {
         self.take_rollouts(news);
-        self.rollouts().hear_node(node, life, &rollout_wire::decode_evidence(news));
+        self.rollouts().merge_node_evidence(node, life, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes what a relay tells of rollouts and its zone counted.
     pub(super) fn take_rollouts_of_zone(&self, zone: &ZoneName, news: &RolloutNews) {
         self.take_rollouts(news);
-        self.rollouts().hear_zone(zone, &rollout_wire::decode_evidence(news));
+        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes orders and stages; news of an order goes on at once.
@@ -144,7 +144,7 @@
             has_changed |= hear_order(book, order);
         }
         for stage in rollout_wire::decode_stages(news) {
-            let is_new = book.hear_stage(&stage, beamwall_clock::now());
+            let is_new = book.merge_stage(&stage, beamwall_clock::now());
             // While the new version takes all, what it does must be known at once.
             has_changed |= is_new && stage.stage.takes_all_in.is_some_and(|left| left <= TOLD_AT_ONCE);
         }
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -226,7 +226,7 @@
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_work_of(&Reporter::Node(member.node.clone()));
             self.gateway.forwarder.usage.forget_node(&member.node);
-            self.rollouts().forget_node(&member.node);
+            self.rollouts().remove_node_evidence(&member.node);
         }
     }
 
--- a/crates/beamwall-node/src/node.rs
+++ b/crates/beamwall-node/src/node.rs
@@ -15,7 +15,7 @@
 use beamwall_http::{JsonClient, Pool, serve};
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork};
-use beamwall_quarantine::QuarantineBook;
+use beamwall_quarantine::QuarantineRegistry;
 use beamwall_request::async_record::AsyncRecords;
 use beamwall_request::{ClaimLedger, Dispatcher, RequestMetrics, RequestRegistry};
 use beamwall_routing::TenantLimits;
@@ -179,7 +179,7 @@
 }
 
 fn assemble_quarantine(pool: &Pool, store: &ObjectStore, view: Arc<ArcSwap<FleetView>>) -> NodeQuarantine {
-    let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
+    let (book, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
     let kept = Arc::new(KeptQuarantine::new(Arc::new(store.clone()), book.clone(), clock.clone()));
     let listed = Arc::new(ListedInView(view));
     let quarantine = Arc::new(Quarantine::new(book, pool.clone(), listed, clock, kept.clone()));
--- a/crates/beamwall-node/tests/kept_quarantine.rs
+++ b/crates/beamwall-node/tests/kept_quarantine.rs
@@ -7,7 +7,7 @@
 use beamwall_gateway::quarantine::TrialPort;
 use beamwall_model::BackendId;
 use beamwall_node::gateway::kept_quarantine::KeptQuarantine;
-use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineBook};
+use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineRegistry};
 use beamwall_store::object::{Object, ObjectError, Version, VersionedObjects};
 use bytes::Bytes;
 
@@ -34,12 +34,12 @@
 }
 
 struct Node {
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     kept: KeptQuarantine,
 }
 
 fn node(objects: &Arc<Objects>) -> Node {
-    let book: Arc<QuarantineBook> = Arc::default();
+    let book: Arc<QuarantineRegistry> = Arc::default();
     let kept = KeptQuarantine::new(objects.clone(), book.clone(), Arc::default());
     Node { book, kept }
 }
@@ -54,7 +54,7 @@
 
 fn hold(node: &Node) {
     for engine in ["i-1", "i-2", "i-3"] {
-        node.book.note_ending(&BackendId::new(engine), vec![request()], now_ms());
+        node.book.note_termination(&BackendId::new(engine), vec![request()], now_ms());
     }
     assert!(node.book.is_held(&request()));
 }
--- a/crates/beamwall-node/tests/rollout_wire.rs
+++ b/crates/beamwall-node/tests/rollout_wire.rs
@@ -4,7 +4,7 @@
 use beamwall_model::BackendId;
 use beamwall_node::gateway::rollout_wire;
 use beamwall_peer::rollout_message::{RolloutNews, ToldAnswers, ToldEvidence, ToldOrderId};
-use beamwall_rollout::{AnswerCounts, Evidence, OrderId, OrderNews, RolloutOrder, Verdict};
+use beamwall_rollout::{AnswerCounts, Evidence, OrderId, OrderUpdate, RolloutOrder, Verdict};
 use prost::Message;
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     OrderId { service: "pool".into(), target: "v2".into(), made: 7 }
 }
 
-fn order() -> OrderNews {
-    OrderNews {
+fn order() -> OrderUpdate {
+    OrderUpdate {
         order: RolloutOrder { id: id(), interval: Duration::from_secs(12) },
         revision: 9,
         age: Duration::ZERO,
--- a/crates/beamwall-request/src/dispatcher.rs
+++ b/crates/beamwall-request/src/dispatcher.rs
@@ -281,7 +281,7 @@
     /// Whether it may be sent once more after a back end may have run it: a trial is one attempt, and what has come to be held
     /// goes to no further one.
     pub(crate) fn may_go_on(&self, guard: &dyn RequestGuard) -> bool {
-        self.admission == Admission::Usual && !guard.is_held(&self.fingerprint)
+        self.admission == Admission::Normal && !guard.is_held(&self.fingerprint)
     }
 }
 
