--- a/crates/beamwall-quarantine/benches/fingerprint.rs
+++ b/crates/beamwall-quarantine/benches/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Time to work out the fingerprint of one request, by the size of its body in bytes.
+//! Measures the time to compute the fingerprint of one request, by body size in bytes.
 
 use beamwall_quarantine::FingerprintHasher;
 use divan::Bencher;
--- a/crates/beamwall-quarantine/src/admission.rs
+++ b/crates/beamwall-quarantine/src/admission.rs
@@ -1,27 +1,27 @@
-//! What may be done with a request.
+//! The outcome of admitting a request.
 
 use std::time::Duration;
 
-/// How a request that is let pass may be sent.
+/// How an admitted request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// As its route or service allows.
     Normal,
-    /// To one back end.
+    /// To one back end only.
     Trial,
 }
 
-/// Why a request is not let pass: back ends ended under it.
+/// A refusal: back ends terminated while this request was open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldRequest {
-    /// How many.
+    /// Number of terminations.
     pub endings: usize,
-    /// When it is tried again; `None` where it shall not come again.
+    /// Time until the next trial; `None` if the request must not be sent again.
     pub retry_after: Option<Duration>,
 }
 
 impl HeldRequest {
-    /// What its caller is told.
+    /// The reason given to the caller.
     pub fn reason(&self) -> String {
         let endings = self.endings;
         match self.retry_after {
--- a/crates/beamwall-quarantine/src/evidence.rs
+++ b/crates/beamwall-quarantine/src/evidence.rs
@@ -1,7 +1,8 @@
-//! What nodes saw of requests and the ends of back ends, as they tell it to each other.
+//! Observations about requests and back end terminations that nodes exchange.
 //!
-//! All of it only grows, and the same news heard twice or in another order gives the same book, so nodes may pass it on freely.
-//! Times are milliseconds since 1970 by the clock that most nodes agree on, so that they mean the same at all of them.
+//! Evidence only grows, and merging it is idempotent and commutative, so nodes may forward it freely.
+//! Times are in milliseconds since 1970 by the clock that most nodes agree on, so they are comparable
+//! between nodes.
 
 use std::collections::BTreeMap;
 
@@ -10,50 +11,50 @@
 use crate::fingerprint::Fingerprint;
 use crate::suspect::Suspect;
 
-/// A back end that ended without having announced it.
+/// An unannounced termination of a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Termination {
-    /// The back end, which is one life of an engine.
+    /// The back end; an engine that restarts becomes a new back end.
     pub backend: BackendId,
-    /// When it ended.
+    /// When it terminated.
     pub at_ms: u64,
-    /// Requests that were sent to it and had not been answered whole.
+    /// Requests that had been sent to it and were not completely answered.
     pub open: Vec<Fingerprint>,
 }
 
-/// A request that a back end ran to an end, and lives.
+/// A request that a back end completed without terminating.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Completion {
     /// The request.
     pub request: Fingerprint,
-    /// When it was answered whole.
+    /// When the request was completely answered.
     pub at_ms: u64,
 }
 
-/// A trial of a request that is held.
+/// A trial of a held request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trial {
     /// The request.
     pub request: Fingerprint,
-    /// The number of this trial, from 1.
+    /// The trial's number, starting at 1.
     pub number: u32,
     /// When it was granted.
     pub at_ms: u64,
 }
 
-/// News of requests.
+/// A set of observations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Back ends that ended.
+    /// Terminations of back ends.
     pub endings: Vec<Termination>,
-    /// Requests that ran to an end.
+    /// Completed requests.
     pub completions: Vec<Completion>,
-    /// Trials.
+    /// Trials of held requests.
     pub trials: Vec<Trial>,
 }
 
 impl Evidence {
-    /// All that is known of some requests.
+    /// Collects the evidence about the given suspects.
     pub fn from_suspects<'a>(suspects: impl Iterator<Item = (&'a Fingerprint, &'a Suspect)>) -> Self {
         let mut endings: BTreeMap<(&BackendId, u64), Vec<Fingerprint>> = BTreeMap::new();
         let mut evidence = Self::default();
@@ -78,12 +79,12 @@
         evidence
     }
 
-    /// Whether there is none.
+    /// Whether there is no evidence.
     pub fn is_empty(&self) -> bool {
         self.endings.is_empty() && self.completions.is_empty() && self.trials.is_empty()
     }
 
-    /// Adds other news.
+    /// Appends further evidence.
     pub fn extend(&mut self, other: Evidence) {
         self.endings.extend(other.endings);
         self.completions.extend(other.completions);
--- a/crates/beamwall-quarantine/src/fingerprint.rs
+++ b/crates/beamwall-quarantine/src/fingerprint.rs
@@ -1,39 +1,41 @@
-//! What two tries of the same request have in common.
+//! Fingerprints, which are equal for all attempts of the same request.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Length of a fingerprint in bytes. With 128 bits nobody finds a second request to one that is given.
+/// Length of a fingerprint in bytes. With 128 bits it is infeasible to find a second request with a
+/// given fingerprint.
 pub const FINGERPRINT_BYTES: usize = 16;
-/// Bytes of a fingerprint that logs show.
+/// Number of fingerprint bytes shown in logs.
 const DISPLAYED_BYTES: usize = 8;
 
-/// Identifies a request by its caller, host, path with query, and body; other headers don't count.
+/// Identifies a request by its caller, host, path with query, and body; other headers are ignored.
 ///
-/// It is the beginning of a SHA-256: a tenant must not be able to make a request that is taken for another tenant's.
+/// It is a truncated SHA-256, so that no tenant can construct a request with the fingerprint of another
+/// tenant's request.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// A fingerprint from its bytes.
+    /// Creates a fingerprint from its bytes.
     pub const fn new(bytes: [u8; FINGERPRINT_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// A fingerprint from all its hexadecimal digits.
+    /// Parses a fingerprint from its full hexadecimal form.
     pub fn from_hex(digits: &str) -> Option<Self> {
         let mut bytes = [0; FINGERPRINT_BYTES];
         hex::decode_to_slice(digits, &mut bytes).ok()?;
         Some(Self(bytes))
     }
 
-    /// All its hexadecimal digits.
+    /// Returns the full hexadecimal form.
     pub fn to_hex(&self) -> String {
         hex::encode(self.0)
     }
 
-    /// Its bytes.
+    /// Returns the bytes.
     pub const fn as_bytes(&self) -> &[u8; FINGERPRINT_BYTES] {
         &self.0
     }
@@ -51,17 +53,18 @@
     }
 }
 
-/// Works out a fingerprint while the body is read.
+/// Computes a fingerprint incrementally while the body is read.
 #[derive(Clone)]
 pub struct FingerprintHasher {
     hash: Sha256,
 }
 
 impl FingerprintHasher {
-    /// Begins with what stands in the head; `tenant` is `None` on routes without one.
+    /// Starts with the values from the request head; `tenant` is `None` on routes without a tenant.
     pub fn new(tenant: Option<&str>, host: &str, path_and_query: &str) -> Self {
         let mut hash = Sha256::new();
-        // Each part is preceded by its length, so that none can run into the next.
+        // Each part is prefixed with its length, so that different splits of the same bytes hash
+        // differently.
         for part in [tenant.unwrap_or_default(), &host.to_ascii_lowercase(), path_and_query] {
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part.as_bytes());
@@ -74,7 +77,7 @@
         self.hash.update(bytes);
     }
 
-    /// The fingerprint.
+    /// Returns the fingerprint.
     pub fn finish(self) -> Fingerprint {
         let digest = self.hash.finalize();
         let mut bytes = [0; FINGERPRINT_BYTES];
--- a/crates/beamwall-quarantine/src/hold_decision.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -1,16 +1,22 @@
-//! Which requests are held, as a function of the evidence alone: nodes that have heard the same hold the same.
+//! Decides which requests are held. The decision depends on the evidence alone, so nodes with the same
+//! evidence hold the same requests.
 //!
-//! At the end of a back end many requests are open, and those that ran beside the culprit are sent again as it is, so
-//! they may be there when the next one ends. So
+//! Many requests are open when a back end terminates. Those that ran alongside the culprit are resent as
+//! the culprit is, so they may be open at the next termination, too. Therefore
 //!
-//! - an end is explained by a request that was there at as many ends and at three of them earlier, or at more of them and at three no
-//!   later; it does not count against the others;
-//! - who shares all its ends with another held request is held in doubt, and soon tried again; so is everyone while most ends
-//!   are explained by nobody, as when machines are taken back one after another.
+//! - a termination is explained by a request that was open at as many terminations and reached three of
+//!   them earlier, or was open at more of them and reached three no later; it does not count against the
+//!   other requests;
+//! - a request that shares all its terminations with another held request is held in doubt and retried
+//!   soon. All held requests are in doubt while no held request explains most of the terminations, for
+//!   example when machines are reclaimed one after another.
 //!
-//! Who is held meets no further ends, while an innocent request that comes again meets those of other culprits. So what was found
-//! against one that is held is not taken over by one that was known later. The first to be known may be an innocent request that met
-//! several culprits; it is freed once each of its ends is one of a culprit that was also alone at others, and until then in doubt.
+//! A held request is not exposed to further terminations, while an innocent request that is resent is
+//! exposed to those of other culprits. A termination attributed to a held request is therefore not
+//! reattributed to a request that reached the threshold later. The first request to reach it may be an
+//! innocent one that ran alongside several culprits. It is released once each of its terminations is
+//! shared with a culprit that was also the only held request at other terminations, and is in doubt
+//! until then.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -21,20 +27,20 @@
 use crate::limits::{TERMINATIONS_UNTIL_CLEAR, TERMINATIONS_UNTIL_HELD, TRIAL_DELAYS, TRIAL_DELAYS_IN_DOUBT};
 use crate::suspect::Suspect;
 
-/// Why and how long a request is held.
+/// Why and for how long a request is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HoldState {
-    /// Ends of back ends that tell against it.
+    /// Number of terminations that count against the request.
     pub endings: usize,
-    /// Whether another request, or another reason, may have ended all of them.
+    /// Whether another request, or another cause, may explain all of them.
     pub is_in_doubt: bool,
-    /// Trials granted.
+    /// Number of trials granted.
     pub trials: u32,
-    /// When the next trial is due; `None`: there is none.
+    /// When the next trial is due; `None` if there is no further trial.
     pub next_trial_ms: Option<u64>,
 }
 
-/// A request at enough ends to be held.
+/// A request with enough terminations to be held.
 struct Candidate<'a> {
     request: Fingerprint,
     suspect: &'a Suspect,
@@ -43,7 +49,7 @@
 }
 
 impl Candidate<'_> {
-    /// Whether it explains ends at which `other` was, too.
+    /// Whether this request explains terminations at which `other` was open, too.
     fn takes_precedence_over(&self, other: &Candidate<'_>) -> bool {
         match self.endings.len().cmp(&other.endings.len()) {
             Ordering::Greater => self.threshold_reached_ms <= other.threshold_reached_ms,
@@ -52,7 +58,7 @@
         }
     }
 
-    /// The number of its ends at which none of the others was.
+    /// Number of its terminations at which none of `others` was open.
     fn unshared_terminations(&self, others: &[&Candidate<'_>]) -> usize {
         let is_shared = |backend: &BackendId| {
             others.iter().any(|other| other.request != self.request && other.endings.contains(backend))
@@ -67,7 +73,7 @@
     }
 }
 
-/// The requests that are held; `ended` are further back ends that ended, of which no request is known.
+/// Returns the requests to hold. `ended` lists further terminations, at which no known request was open.
 pub fn held_requests(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     ended: &BTreeMap<BackendId, u64>,
@@ -75,7 +81,8 @@
     let times = termination_times(suspects);
     let to_candidate = |(request, suspect)| candidate(request, suspect, &times);
     let mut candidates: Vec<Candidate<'_>> = suspects.iter().filter_map(to_candidate).collect();
-    // The strongest first, so that who is explained away explains nothing.
+    // Process the strongest candidates first, so that a request whose terminations are explained by
+    // others explains none itself.
     candidates.sort_by_key(|one| (Reverse(one.endings.len()), one.threshold_reached_ms, one.request));
     let mut confirmed: Vec<&Candidate<'_>> = Vec::new();
     for candidate in &candidates {
@@ -92,7 +99,8 @@
     confirmed.iter().map(|one| (one.request, hold_state(one, &confirmed, has_other_causes))).collect()
 }
 
-/// The convicted but for those whose every end is explained by requests that were at more ends, and clearly end back ends themselves.
+/// Removes requests whose terminations are all explained by requests with more terminations that are
+/// clear causes of terminations themselves.
 fn without_explained_by_others<'a>(confirmed: &[&'a Candidate<'a>]) -> Vec<&'a Candidate<'a>> {
     let is_clear = |one: &&&Candidate<'_>| one.unshared_terminations(confirmed) >= TERMINATIONS_UNTIL_CLEAR;
     let clear: Vec<&&Candidate<'_>> = confirmed.iter().filter(is_clear).collect();
@@ -103,7 +111,8 @@
     confirmed.iter().copied().filter(|one| !is_explained(one)).collect()
 }
 
-/// Whether most of the ends in the book happened without any of the convicted requests, so that engines end for another reason.
+/// Whether no held request was open at most of the recorded terminations, so that back ends terminate
+/// for another reason.
 fn most_terminations_unexplained(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     ended: &BTreeMap<BackendId, u64>,
@@ -119,7 +128,8 @@
     ended.len() - explained > explained
 }
 
-/// When each back end ended: nodes see an end some milliseconds apart, which must not tell who was there earlier.
+/// Returns the earliest observed time of each termination. Nodes observe the same termination some
+/// milliseconds apart, which must not decide which request reached the threshold first.
 fn termination_times(suspects: &BTreeMap<Fingerprint, Suspect>) -> HashMap<&BackendId, u64> {
     let mut times = HashMap::new();
     for (backend, at_ms) in suspects.values().flat_map(|suspect| &suspect.endings) {
--- a/crates/beamwall-quarantine/src/lib.rs
+++ b/crates/beamwall-quarantine/src/lib.rs
@@ -1,15 +1,19 @@
-//! Keeps requests under which back ends end away from further ones.
+//! Quarantines requests that repeatedly terminate the back ends that run them (poison requests).
 //!
-//! A request may end each back end that begins to run it, and its caller sends it again: under another identifier, at another
-//! node. Limits of attempts hold for one try and retry budgets for a whole service, so neither stops it. Here
+//! A request may terminate every back end that starts to run it, and its caller may send it again under
+//! another request identifier or to another node. Attempt limits apply to a single request identifier
+//! and retry budgets to a whole service, so neither stops such a request. In this package
 //!
-//! - a request is known by its [`Fingerprint`]: caller, host, path and body;
-//! - every node notes which requests were open at a back end that ended ([`evidence`]), and all nodes tell each other;
-//! - who was open at the end of [`ENDINGS_UNTIL_HELD`] back ends is held ([`verdict`]), unless another request explains these
-//!   ends better, or it has run to an end since;
-//! - what is held is refused at once, but for a few trials at long intervals ([`terms`]), so that a request that only ran
-//!   beside the culprit is not refused for good;
-//! - all of that is one [`QuarantineBook`], bounded in memory, equal at all nodes that have heard the same.
+//! - a request is identified by its [`Fingerprint`]: caller, host, path and body;
+//! - every node records which requests were open at a back end when it terminated ([`evidence`]), and
+//!   all nodes exchange these records;
+//! - a request that was open at the termination of [`TERMINATIONS_UNTIL_HELD`] back ends is held
+//!   ([`hold_decision`]), unless another request explains these terminations better or the request has
+//!   completed since;
+//! - a held request is refused immediately, except for a few trials at long intervals ([`limits`]), so
+//!   that a request that only ran alongside the culprit is not refused permanently;
+//! - a [`QuarantineRegistry`] holds all of this state. Its memory is bounded, and nodes that received
+//!   the same evidence have equal registries.
 //!
 //! This package performs no input or output.
 
--- a/crates/beamwall-quarantine/src/registry.rs
+++ b/crates/beamwall-quarantine/src/registry.rs
@@ -1,4 +1,4 @@
-//! The `QuarantineBook` aggregate: all that one node knows of requests under which back ends end.
+//! The `QuarantineRegistry`: the suspected and held requests known to one node.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,40 +14,40 @@
 use crate::limits::{MAX_SUSPECTS, MAX_UNATTRIBUTED_TERMINATIONS, SUSPECT_RETENTION};
 use crate::suspect::Suspect;
 
-/// How a request stands.
+/// Quarantine status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// It may be sent.
+    /// The request may be sent.
     Free,
-    /// It is held, and a trial is due.
+    /// The request is held, and a trial is due.
     TrialDue {
-        /// The number of that trial.
+        /// The trial's number.
         number: u32,
-        /// Ends of back ends that tell against it.
+        /// Number of terminations that count against the request.
         endings: usize,
-        /// Whether its case is in doubt.
+        /// Whether the request may be innocent.
         is_in_doubt: bool,
     },
-    /// It is held.
+    /// The request is held.
     Held {
-        /// Ends of back ends that tell against it.
+        /// Number of terminations that count against the request.
         endings: usize,
-        /// The time until a trial is due, where its case is in doubt and there is one.
+        /// Time until the next trial, if the request is in doubt and a trial remains.
         retry_after: Option<Duration>,
     },
 }
 
-/// What changed among the held requests.
+/// Changes in the set of held requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HoldChanges {
-    /// Requests that are held from now on.
+    /// Requests that are now held.
     pub held: Vec<(Fingerprint, HoldState)>,
-    /// Requests that are not held any more.
+    /// Requests that are no longer held.
     pub freed: Vec<Fingerprint>,
 }
 
-/// All that one node knows of requests under which back ends end. A request that is not in it costs one look into a map
-/// that is empty nearly always.
+/// The suspected and held requests known to one node. The lookup of a request that is not suspected
+/// reads one map, which is usually empty.
 #[derive(Debug, Default)]
 pub struct QuarantineRegistry {
     state: Mutex<State>,
@@ -57,31 +57,31 @@
 #[derive(Debug, Default)]
 struct State {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Back ends that ended without an open request of this node, and when. Every node sees these by itself, so they are not
-    /// told, and no part of the digest.
+    /// Back ends that terminated without an open request of this node, with the time. Every node
+    /// observes these itself, so they are neither sent to peers nor part of the digest.
     unattributed: BTreeMap<BackendId, u64>,
-    /// What this node saw itself and has not told yet.
+    /// Evidence that this node observed and has not sent to its peers yet.
     unsent: Evidence,
     /// Changes that were not reported yet.
     changes: HoldChanges,
 }
 
-/// The same for readers on the path of requests.
+/// Read-only snapshot for the request path.
 #[derive(Debug, Default)]
 struct View {
-    /// Requests against which something is told, and whether they are held.
+    /// Suspected requests, with the hold state of those that are held.
     suspects: HashMap<Fingerprint, Option<HoldState>>,
     digest: u64,
     persistent_digest: u64,
 }
 
 impl View {
-    /// Why and how long a request is held; `None` where it is not.
+    /// Returns the hold state of a request; `None` if it is not held.
     fn held(&self, request: &Fingerprint) -> Option<&HoldState> {
         self.suspects.get(request)?.as_ref()
     }
 
-    /// All requests that are held.
+    /// Returns all held requests.
     fn all_held(&self) -> impl Iterator<Item = (&Fingerprint, &HoldState)> {
         self.suspects.iter().filter_map(|(request, held)| Some((request, held.as_ref()?)))
     }
@@ -92,7 +92,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How a request stands.
+    /// Returns the status of a request.
     pub fn request_status(&self, request: &Fingerprint, now_ms: u64) -> RequestStatus {
         let view = self.view.load();
         let Some(held) = view.held(request) else { return RequestStatus::Free };
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Whether a request is held, a trial being due or not.
+    /// Whether a request is held, regardless of whether a trial is due.
     pub fn is_held(&self, request: &Fingerprint) -> bool {
         self.view.load().held(request).is_some()
     }
 
-    /// Whether an end of a back end tells against a request.
+    /// Whether any termination counts against a request.
     pub fn is_suspected(&self, request: &Fingerprint) -> bool {
         let is_known = self.view.load().suspects.contains_key(request);
         is_known
@@ -127,23 +127,25 @@
                 .is_some_and(|suspect| suspect.counted_terminations().next().is_some())
     }
 
-    /// Requests that are held.
+    /// Returns the held requests.
     pub fn held(&self) -> Vec<(Fingerprint, HoldState)> {
         self.view.load().all_held().map(|(request, held)| (*request, *held)).collect()
     }
 
-    /// Requests in the book.
+    /// Number of suspects.
     pub fn suspects(&self) -> usize {
         self.view.load().suspects.len()
     }
 
-    /// Notes the end of a back end that this node saw, and the requests that it had open there.
+    /// Records a back end termination that this node observed, with the requests that this node had open
+    /// there.
     pub fn note_termination(&self, backend: &BackendId, open: Vec<Fingerprint>, now_ms: u64) {
         let ending = Termination { backend: backend.clone(), at_ms: now_ms, open };
         self.note(Evidence { endings: vec![ending], ..Evidence::default() }, now_ms);
     }
 
-    /// Notes the end of a back end of which no open request is known here: it tells how often they end for other reasons.
+    /// Records a termination without an open request of this node. These show how often back ends
+    /// terminate for other reasons.
     pub fn note_unattributed_termination(&self, backend: &BackendId, now_ms: u64) {
         let mut state = self.lock();
         if state.unattributed.len() >= MAX_UNATTRIBUTED_TERMINATIONS
@@ -157,9 +159,10 @@
         }
     }
 
-    /// Notes that a back end ran a request to an end; returns whether that frees it of a suspicion.
+    /// Records that a back end completed a request; returns whether that clears the request of a
+    /// suspicion.
     pub fn note_completion(&self, request: &Fingerprint, now_ms: u64) -> bool {
-        // Of one that nothing tells against now, the others need not hear each time that it ran.
+        // Completions of requests without counted terminations are not sent to the peers.
         if !self.is_suspected(request) {
             return false;
         }
@@ -167,13 +170,13 @@
         self.note(Evidence { completions: vec![completion], ..Evidence::default() }, now_ms)
     }
 
-    /// Notes a trial that this node was granted.
+    /// Records a trial that was granted to this node.
     pub fn note_trial(&self, request: &Fingerprint, number: u32, now_ms: u64) {
         let trial = Trial { request: *request, number, at_ms: now_ms };
         self.note(Evidence { trials: vec![trial], ..Evidence::default() }, now_ms);
     }
 
-    /// Notes what this node saw; returns whether it was new.
+    /// Records a local observation; returns whether it was new.
     fn note(&self, evidence: Evidence, now_ms: u64) -> bool {
         let mut state = self.lock();
         let new = self.apply_evidence(&mut state, evidence, now_ms);
@@ -182,7 +185,7 @@
         is_new
     }
 
-    /// Takes what others tell; returns what of it was new here.
+    /// Merges evidence received from a peer; returns the part that was new.
     pub fn merge_evidence(&self, evidence: Evidence, now_ms: u64) -> Evidence {
         self.apply_evidence(&mut self.lock(), evidence, now_ms)
     }
@@ -195,7 +198,7 @@
         new
     }
 
-    /// Forgets requests whose time in the book is over.
+    /// Removes expired suspects and terminations.
     pub fn remove_expired(&self, now_ms: u64) {
         let mut state = self.lock();
         let before = state.suspects.len() + state.unattributed.len();
@@ -206,22 +209,23 @@
         }
     }
 
-    /// What this node saw since this was last asked, to be told to all.
+    /// Takes the local observations that were not sent to the peers yet.
     pub fn take_unsent(&self) -> Evidence {
         std::mem::take(&mut self.lock().unsent)
     }
 
-    /// What changed among the held requests since this was last asked.
+    /// Takes the changes in the set of held requests since the last call.
     pub fn take_changes(&self) -> HoldChanges {
         std::mem::take(&mut self.lock().changes)
     }
 
-    /// All that is known here.
+    /// Returns all evidence known to this node.
     pub fn all_evidence(&self) -> Evidence {
         Evidence::from_suspects(self.lock().suspects.iter())
     }
 
-    /// What is known of the held requests, to be kept where it outlives all nodes.
+    /// Returns the suspects to persist: those that are held. The stored copy survives a restart of all
+    /// nodes.
     pub fn persistent_suspects(&self) -> BTreeMap<Fingerprint, Suspect> {
         let view = self.view.load();
         let state = self.lock();
@@ -229,17 +233,17 @@
         held.map(|(request, suspect)| (*request, suspect.clone())).collect()
     }
 
-    /// A number that is equal for equal contents; 0 for none.
+    /// Digest of the suspects: equal for equal contents, and 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.view.load().digest
     }
 
-    /// The same for [`Self::persistent_suspects`].
+    /// Digest of [`Self::persistent_suspects`].
     pub fn persistent_digest(&self) -> u64 {
         self.view.load().persistent_digest
     }
 
-    /// Works out anew who is held.
+    /// Recomputes the held requests and publishes a new snapshot.
     fn publish(&self, state: &mut State) {
         let held = hold_decision::held_requests(&state.suspects, &state.unattributed);
         let before = self.view.load();
@@ -259,7 +263,7 @@
 }
 
 impl State {
-    /// Takes news; returns what of it was new.
+    /// Merges evidence; returns the part that was new.
     fn add_evidence(&mut self, evidence: Evidence, now_ms: u64) -> Evidence {
         let mut new = Evidence::default();
         for Termination { backend, at_ms, open } in evidence.endings {
@@ -271,7 +275,8 @@
                 new.endings.push(Termination { backend, at_ms, open });
             }
         }
-        // Nothing is noted of a request that was at no end: it would stay for no reason.
+        // Completions and trials of unknown requests are ignored: a suspect without terminations would
+        // be stored without need.
         for completion in evidence.completions {
             let suspect = self.suspects.get_mut(&completion.request);
             if suspect.is_some_and(|suspect| suspect.note_completion(completion.at_ms)) {
@@ -303,7 +308,7 @@
         is_new
     }
 
-    /// Drops the lightest suspects where there are too many.
+    /// Evicts the suspects of lowest priority if there are more than [`MAX_SUSPECTS`].
     fn evict_excess(&mut self) {
         let too_many = self.suspects.len().saturating_sub(MAX_SUSPECTS);
         if too_many == 0 {
--- a/crates/beamwall-quarantine/src/suspect.rs
+++ b/crates/beamwall-quarantine/src/suspect.rs
@@ -1,4 +1,4 @@
-//! What is known of one request, also as it is kept in the store.
+//! What is recorded about one suspected request. This is also the stored format.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
     HOLD_RETENTION, MAX_TERMINATIONS_PER_REQUEST, SUSPECT_RETENTION, TERMINATIONS_UNTIL_HELD,
 };
 
-/// A request that was open at the end of a back end.
+/// A request that was open at the termination of a back end.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Suspect {
-    /// The back ends, and when they ended.
+    /// The back ends that terminated, with the time of termination.
     pub endings: BTreeMap<BackendId, u64>,
-    /// When it last ran to an end; 0: never. Ends of back ends up to then tell nothing against it.
+    /// When the request last completed; 0 if never. Terminations up to then do not count.
     pub completed_ms: u64,
-    /// Trials granted.
+    /// Number of trials granted.
     pub trials: u32,
-    /// When the last one was granted.
+    /// When the last trial was granted.
     pub trial_ms: u64,
 }
 
 impl Suspect {
-    /// Notes an end of a back end; returns whether that is new.
+    /// Records a back end termination; returns whether it was new.
     pub fn note_termination(&mut self, backend: &BackendId, at_ms: u64) -> bool {
         let is_new = match self.endings.get_mut(backend) {
-            // Nodes see the same end some milliseconds apart; the earliest counts for all.
+            // Nodes observe the same termination some milliseconds apart; the earliest time is used.
             Some(known) if at_ms < *known => {
                 *known = at_ms;
                 true
@@ -46,14 +46,14 @@
         is_new
     }
 
-    /// Notes that it ran to an end; returns whether that is new.
+    /// Records that the request completed; returns whether that was new.
     pub fn note_completion(&mut self, at_ms: u64) -> bool {
         let is_new = at_ms > self.completed_ms;
         self.completed_ms = self.completed_ms.max(at_ms);
         is_new
     }
 
-    /// Notes a trial; returns whether that is new.
+    /// Records a trial; returns whether it was new.
     pub fn note_trial(&mut self, number: u32, at_ms: u64) -> bool {
         let is_new = (number, at_ms) > (self.trials, self.trial_ms);
         if is_new {
@@ -62,30 +62,30 @@
         is_new
     }
 
-    /// Ends of back ends that tell against it.
+    /// Terminations that count towards the hold threshold: those after the last completion.
     pub fn counted_terminations(&self) -> impl Iterator<Item = (&BackendId, u64)> {
         let ended = self.endings.iter().map(|(backend, at_ms)| (backend, *at_ms));
         ended.filter(|(_, at_ms)| *at_ms > self.completed_ms)
     }
 
-    /// Whether it was at enough ends of back ends to be held.
+    /// Whether enough terminations count for the request to be held.
     pub fn reaches_hold_threshold(&self) -> bool {
         self.counted_terminations().count() >= TERMINATIONS_UNTIL_HELD
     }
 
-    /// The last moment from which its time in the book counts.
+    /// The time from which the retention period is measured.
     pub fn last_activity_ms(&self) -> u64 {
         let ended = self.endings.values().copied().max().unwrap_or(0);
         ended.max(self.trial_ms)
     }
 
-    /// Whether its time in the book is over.
+    /// Whether the retention period is over.
     pub fn is_expired(&self, now_ms: u64) -> bool {
         let kept = if self.reaches_hold_threshold() { HOLD_RETENTION } else { SUSPECT_RETENTION };
         now_ms > self.last_activity_ms().saturating_add(to_ms(kept))
     }
 
-    /// What is kept first where there is not room for all: the greater, the rather.
+    /// Sort key for eviction: the suspects with the greatest keys are retained.
     pub fn retention_priority(&self) -> (usize, u64) {
         (self.counted_terminations().count(), self.last_activity_ms())
     }
--- a/crates/beamwall-quarantine/tests/book.rs
+++ b/crates/beamwall-quarantine/tests/book.rs
@@ -1,4 +1,4 @@
-//! The book of requests under which back ends end: who is held, for how long, and that all nodes agree.
+//! Tests of the quarantine registry: which requests are held, for how long, and that all nodes agree.
 
 use std::time::Duration;
 
@@ -28,7 +28,8 @@
     duration.as_millis() as u64
 }
 
-/// Notes one end of an engine a second for each list of requests; gives the time of the last.
+/// Records one engine termination per second, with each list of requests open; returns the time of the
+/// last.
 fn note_terminations(registry: &QuarantineRegistry, lists: &[&[&str]]) -> u64 {
     let mut now_ms = START_MS;
     for (number, names) in lists.iter().enumerate() {
@@ -84,7 +85,7 @@
 #[test]
 fn ends_that_a_stronger_request_explains_do_not_count() {
     let registry = QuarantineRegistry::default();
-    // `beside` was sent again and again while `bad` ended one engine after another.
+    // `beside` was resent repeatedly while `bad` terminated one engine after another.
     let lists: [&[&str]; 5] =
         [&["bad"], &["bad", "beside"], &["bad"], &["bad", "beside"], &["bad", "beside"]];
     let now_ms = note_terminations(&registry, &lists);
@@ -126,7 +127,7 @@
         registry.request_status(&request("bad"), due_ms),
         RequestStatus::TrialDue { number: 1, is_in_doubt: true, .. }
     ));
-    // The trial of one of them ends another engine, so the case is clear.
+    // The trial of `bad` terminates another engine, so the culprit is clear.
     registry.note_trial(&request("bad"), 1, due_ms);
     assert!(
         matches!(registry.request_status(&request("bad"), due_ms), RequestStatus::Held { .. }),
@@ -144,7 +145,7 @@
     let mut now_ms = START_MS;
     for number in 0..3 {
         now_ms += SECOND_MS;
-        // One node sees the end of the engine 6 ms before the other.
+        // One node observes the termination 6 ms before the other.
         registry.note_termination(&engine(number), vec![request("beside")], now_ms);
         registry.note_termination(&engine(number), vec![request("bad")], now_ms + 6);
     }
@@ -186,7 +187,7 @@
     let later_ms = now_ms + ms(SUSPECT_RETENTION) + 1;
     registry.remove_expired(later_ms);
     assert_eq!((registry.suspects(), registry.digest()), (0, 0));
-    // News of it that comes late does not bring it back.
+    // Evidence about it that arrives late does not restore it.
     let old = Termination { backend: engine(1), at_ms: now_ms, open: vec![request("a")] };
     let evidence = Evidence { endings: vec![old], ..Evidence::default() };
     assert!(registry.merge_evidence(evidence, later_ms).is_empty());
@@ -216,7 +217,7 @@
     assert_eq!((next.suspects(), next.persistent_digest()), (1, registry.persistent_digest()));
 }
 
-/// Any news of few requests and engines.
+/// Generates arbitrary evidence about a few requests and engines.
 fn arbitrary_evidence(input: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Evidence> {
     let names = ["a", "b", "c", "d"];
     let at_ms = START_MS + u64::from(input.int_in_range(0..=20_000_u32)?);
@@ -251,7 +252,8 @@
                 books[(receiver + 1) % 3].merge_evidence(evidence, START_MS);
             }
         }
-        // Two rounds: what the first brings of a request lets completions and trials be taken.
+        // Two rounds: a node ignores completions and trials of a request until it knows a termination of
+        // that request, which it may receive in the first round only.
         for _ in 0..2 {
             for from in 0..3 {
                 for to in 0..3 {
--- a/crates/beamwall-quarantine/tests/fingerprint.rs
+++ b/crates/beamwall-quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Two tries of a request have the same fingerprint, any two requests different ones.
+//! Attempts of the same request have equal fingerprints; different requests have different ones.
 
 use beamwall_quarantine::{Fingerprint, FingerprintHasher};
 
@@ -26,7 +26,7 @@
         fingerprint(Some("alder"), "a.example", "/chat/?q=1", &[b"one"]),
         fingerprint(Some("alder"), "a.example", "/chat/", &[b"two"]),
         fingerprint(Some("alder"), "a.example", "/chat/", &[]),
-        // Bytes that move from one part to the next.
+        // The same bytes, split differently between adjacent parts.
         fingerprint(Some("aldera"), ".example", "/chat/", &[b"one"]),
         fingerprint(Some("alder"), "a.example", "/chat/o", &[b"ne"]),
     ];
--- a/crates/beamwall-quarantine/tests/simulation.rs
+++ b/crates/beamwall-quarantine/tests/simulation.rs
@@ -1,9 +1,12 @@
-//! A pool of engines under load, simulated: requests that end engines, engines that end for other reasons, and who is held.
+//! Simulates a pool of engines under load, with requests that terminate engines and with engines that
+//! terminate for other reasons, and checks which requests are held.
 //!
-//! The load: 60 requests a second of 0.2 to 2.5 s each over 12 engines; nine in ten whose engine ends come again after 0.1 s
-//! under their fingerprint, up to eleven times; who is refused comes again when it is told to, or after 2 s. A culprit comes four times a second, whatever it is answered, and ends its engine
-//! after 60 ms; an engine is away for 4 s. What one node sees is known to all after 100 ms. Figures of the load are those of the
-//! incident's engines, clients and pace.
+//! The load is 60 requests per second of 0.2 to 2.5 s each on 12 engines. Nine in ten of the requests
+//! whose engine terminates are resent after 0.1 s with the same fingerprint, up to eleven times. A
+//! refused request is resent after the given retry delay, or after 2 s. A culprit is sent four times per
+//! second whatever the response, and terminates its engine after 60 ms; an engine is down for 4 s. An
+//! observation of one node reaches all nodes after 100 ms. The load, engines, clients and request rate
+//! are those of the incident.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -25,31 +28,31 @@
 const RETRY_PROBABILITY: f64 = 0.9;
 const RETRY_DELAY_MS: u64 = 100;
 const MAX_ATTEMPTS: u32 = 12;
-/// Time after which an innocent request comes again that was refused without a time.
+/// Time after which an innocent request is resent that was refused without a retry delay.
 const REFUSED_RETRY_DELAY_MS: u64 = 2_000;
-/// After this time the platform counts what still reaches engines.
+/// Time after the third termination from which the platform counts attempts that still reach engines.
 const DETECTION_DEADLINE_MS: u64 = 3_000;
-/// Time within which each held request has had a trial that no other end of an engine spoils.
+/// Time within which each held request has had a trial that no other engine termination disturbs.
 const TRIAL_HORIZON_MS: u64 = 3_600_000;
-/// Tries that may reach engines then, by the platform's rule.
+/// Attempts that may reach engines after that time, by the platform's rule.
 const MAX_LATE_ATTEMPTS: usize = 3;
 
-/// Who decides what is held.
+/// The rule that decides which requests are held.
 enum Strategy {
-    /// The book.
+    /// The quarantine registry.
     Registry,
-    /// Whoever was open at that many ends, and has not run to an end since.
+    /// Holds every request that was open at this many terminations and has not completed since.
     Count(usize),
 }
 
-/// What happens to engines.
+/// The failures in a simulation run.
 #[derive(Clone)]
 struct Scenario {
-    /// When each culprit begins and stops to be sent.
+    /// Start and end time of the traffic of each culprit.
     culprits: Vec<(u64, u64)>,
-    /// When all engines of a third end at once.
+    /// Times at which a third of the engines terminates at once.
     power_losses: Vec<u64>,
-    /// Time between two single ends for other reasons; 0: none.
+    /// Time between two single engine terminations for other reasons; 0 if there are none.
     crash_period_ms: u64,
 }
 
@@ -73,17 +76,17 @@
 
 #[derive(Default)]
 struct Outcome {
-    /// Engines that ended under culprits.
+    /// Engines terminated by culprits.
     ended_by_culprits: usize,
-    /// For each culprit, tries that reached engines after it was due to be known.
+    /// For each culprit, the attempts that reached engines after the detection deadline.
     late: Vec<usize>,
     /// Innocent requests that were refused at least once.
     refused_innocents: usize,
-    /// Innocent requests that are held when all is over.
+    /// Innocent requests that are held when the simulation ends.
     held_at_the_end: usize,
-    /// Of these, such as are not free after their next trial.
+    /// Those of them that are still held after their next trial.
     held_for_good: usize,
-    /// The longest time from the first refusal of an innocent request until it was let through.
+    /// The longest time from the first refusal of an innocent request until it was admitted.
     longest_refused_ms: u64,
 }
 
@@ -99,7 +102,8 @@
     endings: Vec<(BackendId, Vec<Fingerprint>, u64)>,
     registry: QuarantineRegistry,
     counts: HashMap<Fingerprint, usize>,
-    /// Innocent requests that were refused, and when first; `None` once they were let through.
+    /// Innocent requests that were refused, with the time of the first refusal; `None` once they were
+    /// admitted.
     refused: HashMap<usize, Option<u64>>,
     outcome: Outcome,
 }
@@ -260,7 +264,7 @@
         }
     }
 
-    /// An engine ends with all that it runs.
+    /// Terminates an engine with all the requests it runs.
     fn end(&mut self, engine: usize) {
         if self.engines[engine].is_down {
             return;
@@ -303,11 +307,11 @@
         self.outcome
     }
 
-    /// Whether an innocent request that comes again later is tried, and free from then on.
+    /// Whether an innocent request that is resent later gets a trial and is not held afterwards.
     fn is_freed_by_its_trial(&self, request: &Fingerprint) -> bool {
         let later_ms = START_MS + RUN_MS + TRIAL_HORIZON_MS;
         let number = match self.registry.request_status(request, later_ms) {
-            // What another held request did may have cleared this one.
+            // Terminations of another held request may have cleared this one.
             RequestStatus::Free => return true,
             RequestStatus::TrialDue { number, .. } => number,
             RequestStatus::Held { .. } => return false,
@@ -318,7 +322,7 @@
     }
 }
 
-/// The sums over all seeds, and the worst of them.
+/// Sums and maxima over all seeds.
 struct Totals {
     ended_by_culprits: usize,
     most_late: usize,
@@ -367,7 +371,8 @@
     Scenario { culprits: vec![(5_000, 40_000), (5_100, 40_000), (20_000, 55_000)], ..no_failures() }
 }
 
-/// Of one kind of requests a few in a hundred end their engines for 20 s, one after another and again each time they come.
+/// Of one kind of request, a few in a hundred terminate their engines for 20 s, one after another and
+/// again on each retry.
 fn culprits_of_one_kind() -> Scenario {
     let culprit = |number: u64| (5_000 + number * 1_500, 25_000);
     Scenario { culprits: (0..8).map(culprit).collect(), ..no_failures() }
@@ -377,7 +382,7 @@
     Scenario { power_losses: vec![5_000, 10_000, 15_000, 20_000, 25_000, 30_000], ..no_failures() }
 }
 
-/// Engines are lost one after another, each `period_ms`.
+/// Engines crash one after another, one every `period_ms`.
 fn crash_every(period_ms: u64) -> Scenario {
     Scenario { crash_period_ms: period_ms, ..no_failures() }
 }
@@ -399,7 +404,8 @@
     }
 }
 
-/// Guards against: many requests that end engines hide each other, or have others of their kind held with them.
+/// Guards against many culprits of one kind hiding each other, or causing innocent requests of their
+/// kind to be held.
 #[test]
 fn a_share_of_one_kind_that_ends_engines_is_stopped_one_by_one() {
     let totals = run_scenario("eight culprits of one kind", || Strategy::Registry, &culprits_of_one_kind());
@@ -419,7 +425,8 @@
     }
 }
 
-/// The way that was weighed against the book: prints the table of the design note.
+/// Compares the registry with the simpler alternative, a plain count of terminations, and prints the
+/// table of the design note.
 #[test]
 fn counting_alone_holds_innocents_for_good() {
     let scenario = three_culprits();
