--- a/crates/beamwall-rollout/src/detector.rs
+++ b/crates/beamwall-rollout/src/detector.rs
@@ -1,10 +1,11 @@
-//! Finds a version that is worse than the old one, from answers of both at the same time.
+//! Detects a version that is worse than the old one by comparing concurrent answers of both.
 //!
-//! A sequential test by sums of log-likelihood ratios that begin anew at zero (CUSUM, Page 1954): so it finds a version that
-//! turns bad late as fast as one that is bad from the start. Each look compares the answers since the last one with the old
-//! version's share of bad answers at that time, so trouble that strikes both condemns neither. It is done for each route and
-//! for all routes together, against a small and a large worsening. Back ends in trouble of their own say nothing of either
-//! version: single ones break in any.
+//! A sequential test on sums of log-likelihood ratios that restart at zero (CUSUM, Page 1954), which
+//! detects a version that turns bad late as fast as one that is bad from the start. Each evaluation
+//! compares the answers since the previous one with the old version's share of bad answers at that time,
+//! so a disruption that affects both versions does not count against either. The test runs for each
+//! route and for all routes together, against a small and a large degradation. Outlier back ends count
+//! for neither version, since single back ends fail in any version.
 
 use std::collections::BTreeMap;
 
@@ -14,31 +15,31 @@
 use crate::history::History;
 use crate::likelihood::{self, Answers};
 
-/// Worsenings, as shares of all answers, that are looked for: a slight one and a plain one.
+/// Increases of the share of bad answers that are tested for: a slight and a severe one.
 const DEGRADATIONS: [f64; 2] = [0.05, 0.5];
-/// Logarithm of the likelihood ratio from which a version counts as bad.
+/// Log-likelihood ratio from which a version counts as bad.
 const REJECT_THRESHOLD: f64 = 9.0;
-/// Logarithms of the likelihood ratio below which a version counts as good: until its order's end, and after it. A late version
-/// loses nothing by being later, and one that is taken can't be taken back.
+/// Log-likelihood ratios below which a version counts as good, before and after the end of the order. A
+/// late rollout loses nothing by taking longer, and a completed one cannot be rolled back.
 const ACCEPT_THRESHOLD: f64 = -5.0;
 const LATE_ACCEPT_THRESHOLD: f64 = -7.0;
-/// Part of a service's answers below which a route need not have shown that it is good.
+/// Share of a service's answers below which a route need not be shown to be good.
 const MIN_ROUTE_SHARE: f64 = 0.03;
 
-/// Why a version is bad.
+/// Why a version was found bad.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// The route on which it showed; `None` where it showed over all.
+    /// The route on which the degradation was found; `None` if it was found over all routes.
     pub route: Option<String>,
-    /// Answers of the new version that it rests on.
+    /// Number of answers of the new version that the finding is based on.
     pub answers: u64,
-    /// The bad ones among them.
+    /// Number of bad answers among them.
     pub bad: u64,
-    /// Share of bad answers of the old version at the same time, 0 to 1.
+    /// The old version's share of bad answers in the same period, 0 to 1.
     pub old_share: f64,
 }
 
-/// The sum against one worsening on one route, or on all.
+/// The log-likelihood sum for one degradation on one route, or on all routes.
 #[derive(Debug, Clone, Default)]
 struct Sum {
     by_back_end: BTreeMap<BackendId, f64>,
@@ -55,19 +56,20 @@
         self.by_back_end.values().sum()
     }
 
-    /// The sum against the version. Each back end counts as far as it is likely to be sound.
+    /// The sum against the version. Each back end is weighted by the probability that it is not an
+    /// outlier.
     fn evidence_against(&self, version: &History) -> f64 {
         self.by_back_end.iter().map(|(id, ratio)| ratio * version.soundness(id)).sum()
     }
 
-    /// The sum by which the version is held for good. Only back ends that are certainly in trouble are left out: a slight
-    /// worsening shows by single bad answers at each.
+    /// The sum that decides whether the version is good. It leaves out only back ends that are certainly
+    /// outliers: a slight degradation shows as single bad answers on each back end.
     fn acceptance_score(&self, version: &History) -> f64 {
         let kept = self.by_back_end.iter().filter(|(id, _)| !version.is_outlier(id));
         kept.map(|(_, ratio)| ratio).sum()
     }
 
-    /// Begins anew where nothing speaks against the version.
+    /// Restarts the sum when there is no evidence against the version.
     fn reset_unless_positive(&mut self) {
         if self.total() <= 0.0 {
             *self = Self::default();
@@ -75,21 +77,21 @@
     }
 }
 
-/// Watches the answers of one rollout.
+/// Evaluates the answers of one rollout.
 #[derive(Debug, Clone, Default)]
 pub struct Detector {
     old: History,
     new: History,
     sums: Sums,
-    /// Sums that never begin anew, since the new version has taken all requests.
+    /// Sums that never restart, counted since the new version receives all requests.
     acceptance_sums: Option<Sums>,
 }
 
-/// The sums by route, or of all, and number of the worsening.
+/// Sums by route (`None` for all routes) and index of the degradation.
 type Sums = BTreeMap<(Option<String>, usize), Sum>;
 
 impl Detector {
-    /// Looks at all that was counted so far; gives what is found against the new version.
+    /// Evaluates the counts so far; returns a finding against the new version, if there is one.
     pub fn evaluate(&mut self, evidence: &Evidence) -> Option<Finding> {
         self.old.update_counts(&evidence.old);
         for (route, id, answers) in self.new.update_counts(&evidence.new) {
@@ -113,13 +115,14 @@
         }
     }
 
-    /// Counts from now on what speaks for the version, which takes all requests.
+    /// Starts to collect the evidence for accepting the version, which now receives all requests.
     pub fn start_acceptance(&mut self) {
         self.acceptance_sums.get_or_insert_with(Sums::new);
     }
 
-    /// Whether the answers since then say that the version is good: against the slight worsening over all routes, and against
-    /// the plain one on each that matters. Only back ends in trouble are left out: a slight worsening shows at few of the others.
+    /// Whether the answers since then show that the version is good: against the slight degradation over
+    /// all routes, and against the severe one on each route that matters. Only outlier back ends are
+    /// left out, since a slight degradation shows on few of the others.
     pub fn is_confirmed_good(&self, is_late: bool) -> bool {
         let Some(sums) = &self.acceptance_sums else { return false };
         let (slight, plain) = (0, DEGRADATIONS.len() - 1);
@@ -132,7 +135,8 @@
         is_good((None, slight)) && routes.all(|route| is_good((Some(route.clone()), plain)))
     }
 
-    /// Why the version is worse where that is not certain, but more likely than not over all routes.
+    /// Returns why the version is probably worse: the evidence is not conclusive, but over all routes a
+    /// degradation is more likely than not.
     pub fn probable_finding(&self) -> Option<Finding> {
         let key = (None, 0);
         let sum = self.acceptance_sums.as_ref().unwrap_or(&self.sums).get(&key)?;
--- a/crates/beamwall-rollout/src/evidence.rs
+++ b/crates/beamwall-rollout/src/evidence.rs
@@ -1,15 +1,15 @@
-//! How answers of both versions fared.
+//! Counts of good and bad answers of both versions.
 
 use std::collections::BTreeMap;
 
 use beamwall_model::BackendId;
 
-/// Answers, and the bad ones among them. Both only grow.
+/// Counters of all answers and of the bad ones. Both only grow.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// Answers.
+    /// All answers.
     pub answers: u64,
-    /// Those that failed, or took several times as long as expected.
+    /// Answers that failed or took several times as long as expected.
     pub bad: u64,
 }
 
@@ -20,7 +20,7 @@
         self.bad += u64::from(is_bad);
     }
 
-    /// Those that came after `before` was counted.
+    /// Returns the answers counted after `before`.
     pub fn since(self, before: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(before.answers),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds others.
+    /// Adds other counts.
     pub fn add(&mut self, other: Self) {
         self.answers += other.answers;
         self.bad += other.bad;
@@ -43,7 +43,7 @@
 /// Answers by route and back end.
 pub type CountsByBackEnd = BTreeMap<(String, BackendId), AnswerCounts>;
 
-/// What one node counted since it knew of an order, or several nodes did.
+/// Counts of one node since it received an order, or the sum over several nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Requests to the service.
@@ -57,7 +57,7 @@
 }
 
 impl Evidence {
-    /// Adds what others counted.
+    /// Adds the counts of other nodes.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.exposed += other.exposed;
@@ -65,7 +65,7 @@
         merge(&mut self.new, &other.new, AnswerCounts::add);
     }
 
-    /// Raises the counts to those that the same nodes told later.
+    /// Raises each count to the value in a later report of the same nodes.
     pub fn merge_max(&mut self, reported: &Self) {
         self.requests = self.requests.max(reported.requests);
         self.exposed = self.exposed.max(reported.exposed);
@@ -73,8 +73,9 @@
         merge(&mut self.new, &reported.new, AnswerCounts::merge_max);
     }
 
-    /// While builds change, the relays of one zone tell the same answers in two ways: by back end, or as one sum without a name.
-    /// The former replace the latter, which would else count beside them.
+    /// During an upgrade, the relays of a zone may report the same answers in two forms: by back end, or
+    /// as one sum without a back end id. The former replaces the latter; otherwise the answers would be
+    /// counted twice.
     fn merge_old_max(&mut self, reported: &CountsByBackEnd) {
         match (is_by_back_end(&self.old), is_by_back_end(reported)) {
             (true, false) => {}
@@ -94,12 +95,12 @@
     }
 }
 
-/// Whether counts are of back ends, not of one sum of all.
+/// Whether the counts are by back end rather than one sum over all back ends.
 fn is_by_back_end(counts: &CountsByBackEnd) -> bool {
     counts.keys().any(|(_, back_end)| !back_end.as_str().is_empty())
 }
 
-/// Takes the counts of others into `own`, each in one way.
+/// Merges `others` into `own`, entry by entry, with the function `take`.
 fn merge(own: &mut CountsByBackEnd, others: &CountsByBackEnd, take: fn(&mut AnswerCounts, AnswerCounts)) {
     for (key, counts) in others {
         take(own.entry(key.clone()).or_default(), *counts);
--- a/crates/beamwall-rollout/src/history.rs
+++ b/crates/beamwall-rollout/src/history.rs
@@ -1,4 +1,4 @@
-//! What was counted of one version so far, by route and back end: all of it, and lately.
+//! Accumulated and recent answer counts of one version, by route and back end.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,20 @@
 use crate::likelihood::{Answers, MAX_BAD_SHARE, MIN_BAD_SHARE};
 use crate::outliers::{self, OutlierProbabilities};
 
-/// Weight of earlier answers at each look: what a version does now counts.
+/// Weight of earlier answers at each evaluation. Recent counts decay so that they show the current
+/// behaviour of the version.
 const RECENT_DECAY: f64 = 0.8;
-/// Answers as which the assumption about a version counts, and the bad ones among them: of a route of which little is known,
-/// only much that is bad says anything.
+/// Prior of a version's share of bad answers, as a number of answers and bad answers. On a route with
+/// few answers, only a high share of bad ones is significant.
 const PRIOR: Answers = Answers { all: 8.0, bad: 1.0 };
-/// Soundness below which a back end counts as in trouble.
+/// Soundness below which a back end counts as an outlier.
 const OUTLIER_SOUNDNESS: f64 = 0.15;
 
-/// The answers of one back end on one route, or of several together.
+/// The answers of one back end on one route, or a sum of several.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteTotals {
     whole: Answers,
-    /// The same, the earlier ones with less weight.
+    /// The same answers, with less weight on earlier ones.
     recent: Answers,
 }
 
@@ -33,12 +34,12 @@
     shares: BTreeMap<String, Shares>,
 }
 
-/// Shares of bad answers on one route, of all back ends that are not in trouble.
+/// Shares of bad answers on one route, over all back ends that are not outliers.
 #[derive(Debug, Clone, Copy)]
 struct Shares {
-    /// In all, as far as it is known.
+    /// The share over the whole time.
     usual: f64,
-    /// In all or lately, whichever is more.
+    /// The larger of the overall and the recent share.
     now: f64,
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl History {
-    /// Takes all that was counted until now; gives what is new.
+    /// Takes the counts so far; returns the answers that were added since the last call.
     pub fn update_counts(&mut self, counts: &CountsByBackEnd) -> Vec<(String, BackendId, Answers)> {
         let mut news = Vec::new();
         for ((route, id), now) in counts {
@@ -73,7 +74,8 @@
         news
     }
 
-    /// Finds the back ends in trouble. They fail whatever the route, so it is judged over all: from the whole time, and lately.
+    /// Updates the outlier probabilities. A faulty back end fails on all routes, so they are computed
+    /// over all routes, from the whole time and from the recent answers.
     fn update_outliers(&mut self) {
         let mut whole: BTreeMap<&BackendId, Answers> = BTreeMap::new();
         let mut recent: BTreeMap<&BackendId, Answers> = BTreeMap::new();
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Works out the shares of all routes, once for all back ends that are compared with them.
+    /// Computes the shares of all routes once, for all back ends that are compared with them.
     fn update_shares(&mut self) {
         let shares =
             self.counted.keys().map(|route| (route.clone(), Shares::of(self.sum_without_outliers(route))));
@@ -99,39 +101,41 @@
         self.shares.get(route).copied().unwrap_or_else(|| Shares::of(RouteTotals::default()))
     }
 
-    /// How likely it is that a back end is as good as the others, 0 to 1.
+    /// Probability that a back end is not an outlier, 0 to 1.
     pub fn soundness(&self, id: &BackendId) -> f64 {
         1.0 - self.outlier_probabilities.get(id).copied().unwrap_or_default()
     }
 
-    /// Whether a back end is certainly in trouble.
+    /// Whether a back end is certainly an outlier.
     pub fn is_outlier(&self, id: &BackendId) -> bool {
         self.soundness(id) < OUTLIER_SOUNDNESS
     }
 
-    /// The routes on which it answered.
+    /// The routes with answers of this version.
     pub fn routes(&self) -> impl Iterator<Item = &String> {
         self.counted.keys()
     }
 
-    /// Answers on a route, or on all.
+    /// Number of answers on a route, or on all routes if it is `None`.
     pub fn answers(&self, route: Option<&str>) -> f64 {
         let routes = self.counted.iter().filter(|(name, _)| route.is_none_or(|route| *name == route));
         routes.flat_map(|(_, counted)| counted.values()).map(|counted| counted.whole.all).sum()
     }
 
-    /// Share of bad answers on a route in all, as far as it is known: what speaks for another version must be as good as that.
+    /// Share of bad answers on a route over the whole time. A new version must be as good as this to be
+    /// accepted.
     pub fn usual_share(&self, route: &str) -> f64 {
         self.shares(route).usual
     }
 
-    /// Share of bad answers on a route that is usual now: the larger of both, so that neither few recent answers nor trouble
-    /// that came a moment ago is held against another version.
+    /// Current share of bad answers on a route: the larger of the overall and the recent share, so that
+    /// neither a small number of recent answers nor a disruption that has just begun counts against the
+    /// other version.
     pub fn share_now(&self, route: &str) -> f64 {
         self.shares(route).now
     }
 
-    /// What was counted on a route, without the back ends in trouble.
+    /// Sums the answers on a route over the back ends that are not outliers.
     fn sum_without_outliers(&self, route: &str) -> RouteTotals {
         let mut sum = RouteTotals::default();
         let counted = self.counted.get(route).into_iter().flatten();
@@ -143,7 +147,7 @@
     }
 }
 
-/// The nearest share that is thought possible of a version that serves.
+/// Clamps a share to the range that is plausible for a version in service.
 fn clamp_share(share: f64) -> f64 {
     share.clamp(MIN_BAD_SHARE, MAX_BAD_SHARE / 2.0)
 }
--- a/crates/beamwall-rollout/src/lib.rs
+++ b/crates/beamwall-rollout/src/lib.rs
@@ -1,18 +1,20 @@
 //! Moves a service's traffic to back ends of another version, which run beside those of the old one.
 //!
-//! An operator's [`RolloutOrder`] names the version and how long the move may take. A version may be bad: a part of its
-//! answers fails or takes several times as long, from the start or later, under load or on one route only. So
+//! An operator's [`RolloutOrder`] names the version and how long the rollout may take. The new version
+//! may be bad: some of its answers fail or take several times as long, from the start or only later,
+//! under load or on one route only. Therefore
 //!
-//! - few requests go to the new version until nearly the end ([`schedule`]): had it turned bad at any moment, it would have
-//!   got no more of them than the bounds allow;
-//! - they go to few of its back ends, which are as full as the old ones ([`traffic`]);
-//! - its answers are compared with those of the old version at the same time, by route and back end ([`detector`]), over all
-//!   nodes ([`evidence`]);
-//! - of either version, back ends in trouble of their own say nothing ([`history`], [`trouble`]);
-//! - what came of it is a [`Verdict`], which is final ([`rollout`]).
+//! - few requests go to the new version until shortly before the end ([`schedule`]), so that a version
+//!   that turns bad at any time receives no more requests than the bounds allow;
+//! - these requests go to a few of its back ends, which are loaded as much as the old ones
+//!   ([`traffic`]);
+//! - its answers are compared with concurrent answers of the old version, by route and back end
+//!   ([`detector`]), over all nodes ([`evidence`]);
+//! - outlier back ends of either version are ignored ([`history`], [`outliers`]);
+//! - the result is a [`Verdict`], which is final ([`rollout`]).
 //!
-//! This package performs no input or output. Who holds the lease on duties runs the [`Rollout`]; every node routes by the
-//! [`Stage`] that it tells, and judges its own answers.
+//! This package performs no input or output. The node that holds the lease on duties runs the
+//! [`Rollout`]; every node routes by the [`Stage`] that this node sends, and classifies its own answers.
 
 pub mod bounds;
 pub mod detector;
--- a/crates/beamwall-rollout/src/likelihood.rs
+++ b/crates/beamwall-rollout/src/likelihood.rs
@@ -1,34 +1,35 @@
-//! Answers as evidence: how much more likely they are where a share of bad ones is larger than usual.
+//! Log-likelihood ratios of answer counts: how much more likely they are with a larger than usual share
+//! of bad answers.
 
 use crate::evidence::AnswerCounts;
 
-/// Largest share of bad answers that is thought possible.
+/// Largest share of bad answers assumed possible.
 pub const MAX_BAD_SHARE: f64 = 0.95;
-/// Least share of bad answers that any version is thought to have.
+/// Smallest share of bad answers assumed for any version.
 pub const MIN_BAD_SHARE: f64 = 0.01;
 
-/// Answers, and the bad ones among them, with weights.
+/// Weighted counts of all answers and of the bad ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Answers {
-    /// Answers.
+    /// All answers.
     pub all: f64,
-    /// The bad ones among them.
+    /// The bad answers.
     pub bad: f64,
 }
 
 impl Answers {
-    /// Adds others.
+    /// Adds other counts.
     pub fn add(&mut self, other: Self) {
         self.all += other.all;
         self.bad += other.bad;
     }
 
-    /// The same with another weight.
+    /// Returns the counts multiplied by `weight`.
     pub fn scaled(self, weight: f64) -> Self {
         Self { all: self.all * weight, bad: self.bad * weight }
     }
 
-    /// Share of bad answers; 0 where there are no answers.
+    /// Share of bad answers; 0 if there are no answers.
     pub fn share(self) -> f64 {
         if self.all > 0.0 { self.bad / self.all } else { 0.0 }
     }
@@ -40,7 +41,8 @@
     }
 }
 
-/// Logarithm of how much more likely the answers are where `worsening` is added to the `usual` share of bad ones.
+/// Logarithm of how much more likely the answers are if `degradation` is added to the `usual` share of
+/// bad answers.
 pub fn ratio(answers: Answers, usual: f64, degradation: f64) -> f64 {
     let worse = (usual + degradation).min(MAX_BAD_SHARE);
     let good = answers.all - answers.bad;
--- a/crates/beamwall-rollout/src/outliers.rs
+++ b/crates/beamwall-rollout/src/outliers.rs
@@ -1,7 +1,7 @@
-//! Finds the back ends of one version that fare far worse than its others.
+//! Finds the back ends that fail much more often than the others of their version.
 //!
-//! Single back ends crash or break in any version. What they answer says nothing of their version, so neither the share of bad
-//! answers that is usual nor the evidence against a version may rest on them.
+//! Single back ends crash or break in any version. Their answers say nothing about the version, so they
+//! must affect neither the usual share of bad answers nor the evidence against a version.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,21 @@
 
 use crate::likelihood::{self, Answers, MAX_BAD_SHARE, MIN_BAD_SHARE};
 
-/// Bad answers beside the usual ones, as a share of all, that a back end in trouble is thought to give.
+/// Share of bad answers assumed for an outlier, in addition to the usual share.
 const OUTLIER_BAD_SHARE: f64 = 0.3;
-/// Part of a version's back ends that is thought to be in trouble before anything is known of them.
+/// Prior probability that a back end is an outlier.
 const OUTLIER_PRIOR: f64 = 0.1;
-/// Back ends that may be in trouble, and the part of all beside. What more of them do is what their version does.
+/// Largest number of outliers, as a constant plus a fraction of all back ends. Failures of more back
+/// ends than that are attributed to the version.
 const MAX_OUTLIERS: (f64, f64) = (2.0, 0.2);
-/// Largest part of a version's back ends that may be in trouble, where there are few.
+/// Largest fraction of a version's back ends that may be outliers, if there are few back ends.
 const MAX_OUTLIER_FRACTION: f64 = 0.4;
 
-/// Probabilities of being in trouble, 0 to 1, by back end.
+/// Probability of being an outlier, 0 to 1, by back end.
 pub type OutlierProbabilities = BTreeMap<BackendId, f64>;
 
-/// How likely it is of each back end that it is in trouble, rather than as bad as the others of its version.
+/// Computes for each back end the probability that it is an outlier, rather than as bad as the others of
+/// its version.
 pub fn detect(answers: &BTreeMap<&BackendId, Answers>) -> OutlierProbabilities {
     let most = max_outliers(answers.len());
     let usual = usual_share(answers, most);
@@ -33,20 +35,20 @@
     judged.into_iter().take(most).map(|(ratio, id)| (id.clone(), probability(ratio))).collect()
 }
 
-/// Back ends of `count` that may be in trouble.
+/// Largest number of outliers among `count` back ends.
 fn max_outliers(count: usize) -> usize {
     let count = count as f64;
     let (some, part) = MAX_OUTLIERS;
     (MAX_OUTLIER_FRACTION * count).min(some + part * count) as usize
 }
 
-/// Probability of being in trouble by the logarithm of the likelihood ratio.
+/// Converts a log-likelihood ratio to the probability of being an outlier.
 fn probability(ratio: f64) -> f64 {
     let odds = OUTLIER_PRIOR / (1.0 - OUTLIER_PRIOR) * ratio.exp();
     if odds.is_finite() { odds / (1.0 + odds) } else { 1.0 }
 }
 
-/// Share of bad answers of all but the `left_out` worst.
+/// Share of bad answers over all back ends except the `left_out` worst.
 fn usual_share(answers: &BTreeMap<&BackendId, Answers>, left_out: usize) -> f64 {
     let mut worst_first: Vec<Answers> = answers.values().copied().collect();
     worst_first.sort_by(|left, right| right.share().total_cmp(&left.share()));
--- a/crates/beamwall-rollout/src/registry.rs
+++ b/crates/beamwall-rollout/src/registry.rs
@@ -1,4 +1,5 @@
-//! The orders that one node knows, what it was told of them, and what it and others counted.
+//! The `RolloutRegistry`: the rollout orders known to one node, with their stages and the evidence
+//! counted by this and other nodes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,74 +13,77 @@
 use crate::stage::{Stage, Verdict};
 use crate::traffic;
 
-/// Time after which a stage that is not told again is over: nothing goes to the new version then. Shorter than any time in which
-/// a bad version must be rolled back, and longer than a told stage takes through relays to other zones.
+/// Time after which a stage that is not sent again expires, and no requests go to the new version. It is
+/// shorter than any time allowed for rolling back a bad version, and longer than a stage takes through
+/// relays to other zones.
 const STAGE_TTL: Duration = Duration::from_millis(3_500);
 
-/// Time after a success in which nothing goes to other versions: their back ends are stopped then. Later versions may come without
-/// an order, and are used as any.
+/// Time after a success in which no requests go to other versions, since their back ends are being
+/// stopped. Later versions may be started without an order, and are then used like any other.
 const OLD_VERSION_STOP_TIME: Duration = Duration::from_secs(15);
 
-/// An order as nodes tell it.
+/// A rollout order, as exchanged between nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrderUpdate {
     /// The order.
     pub order: RolloutOrder,
-    /// The store's revision at which it was read last: of two orders for one service the higher one holds.
+    /// The store's revision at which the order was last read: of two orders for one service, the one
+    /// with the higher revision is valid.
     pub revision: u64,
-    /// Time since it was first seen.
+    /// Time since the order was first seen.
     pub age: Duration,
-    /// What came of it, as far as the teller knows.
+    /// The verdict, as far as the sender knows it.
     pub verdict: Verdict,
-    /// Whether the operator has taken it back.
+    /// Whether the operator has withdrawn the order.
     pub is_withdrawn: bool,
 }
 
-/// A stage as the node tells it that holds the lease, and others after it.
+/// A stage, as sent by the node that holds the lease and forwarded by others.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StageUpdate {
     /// The order.
     pub order: OrderId,
-    /// Epoch of the lease, and number of the telling under it: the higher one is newer.
+    /// Epoch of the lease and sequence number within it; the higher pair is newer.
     pub mark: (u64, u64),
-    /// The stage as it was told.
+    /// The stage at the time it was sent.
     pub stage: Stage,
-    /// Time since then.
+    /// Time since the stage was sent.
     pub age: Duration,
 }
 
-/// To which version a request goes.
+/// The version that a request goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionChoice {
-    /// Any but the new one.
+    /// Any version but the new one.
     Old,
-    /// Some back ends of the new one.
+    /// Some back ends of the new version.
     Canary,
-    /// The new one, which takes all.
+    /// The new version, which receives all requests.
     New,
 }
 
-/// Which back ends a request may go to during a rollout.
+/// Restricts the back ends of a request during a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionRule {
     order: OrderId,
     stage: Stage,
-    /// The side.
+    /// The version that the request goes to.
     pub version_choice: VersionChoice,
 }
 
 impl VersionRule {
-    /// Whether back ends of a version may take the request.
+    /// Whether back ends of a version may receive the request.
     pub fn allows(&self, version: &EngineVersion) -> bool {
         (*version == self.order.target) != (self.version_choice == VersionChoice::Old)
     }
 
-    /// The rule for the same request where no back end of the new version can take it.
+    /// Returns the fallback rule for the same request, for use when no back end of the new version can
+    /// take it.
     pub fn without_new(&self) -> Self {
         Self { version_choice: VersionChoice::Old, ..self.clone() }
     }
 
-    /// Of the new version's back ends those that take requests.
+    /// Selects the back ends of the new version that receive requests.
     pub fn active_back_ends<'a>(&self, new: &[&'a BackendId]) -> Vec<&'a BackendId> {
         traffic::active_back_ends(&self.order, self.stage, new)
     }
@@ -91,7 +95,8 @@
     revision: u64,
     began: Instant,
     verdict: Verdict,
-    /// When this node saw it succeed; `None` where it had before this node knew of it.
+    /// When this node observed the success; `None` if the order had already succeeded when this node
+    /// received it.
     succeeded: Option<Instant>,
     is_withdrawn: bool,
     mark: (u64, u64),
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Takes a verdict; a later one in their order replaces an earlier one.
+    /// Merges a verdict: the greater one in the order of [`Verdict`] replaces the other.
     fn raise_verdict(&mut self, verdict: Verdict, now: Instant) {
         if verdict > self.verdict {
             self.verdict = verdict;
@@ -158,7 +163,7 @@
     }
 }
 
-/// The orders that one node knows: of each service the newest.
+/// The newest rollout order of each service, as known to one node.
 #[derive(Debug, Default)]
 pub struct RolloutRegistry {
     known: Mutex<BTreeMap<ServiceName, KnownOrder>>,
@@ -169,7 +174,7 @@
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an order from the store or a peer; returns whether it says anything new.
+    /// Merges an order from the store or a peer; returns whether it changed anything.
     pub fn merge_order(&self, news: OrderUpdate, now: Instant) -> bool {
         let mut registry = self.lock();
         let service = news.order.id.service.clone();
@@ -185,7 +190,7 @@
             return is_newer;
         }
         let before = (known.verdict, known.is_withdrawn, known.order.interval);
-        // Whoever saw it first knows best when it was given.
+        // The node that saw the order first has the best estimate of when it was placed.
         known.began = known.began.min(now.checked_sub(news.age).unwrap_or(now));
         known.raise_verdict(news.verdict, now);
         if news.revision >= known.revision {
@@ -196,7 +201,7 @@
         before != (known.verdict, known.is_withdrawn, known.order.interval)
     }
 
-    /// Takes orders that the store does not list any more as withdrawn.
+    /// Marks orders as withdrawn that the store no longer lists.
     pub fn withdraw_unlisted(&self, listed: &[ServiceName], revision: u64) -> bool {
         let mut changed = false;
         for (service, known) in self.lock().iter_mut() {
@@ -209,7 +214,7 @@
         changed
     }
 
-    /// Takes a stage that the holder of the lease decided, or that somebody heard of.
+    /// Merges a stage that the lease holder decided or that a peer forwarded.
     pub fn merge_stage(&self, news: &StageUpdate, now: Instant) -> bool {
         let mut registry = self.lock();
         let Some(known) = registry.get_mut(&news.order.service) else { return false };
@@ -222,7 +227,7 @@
         true
     }
 
-    /// Notes what this node found or was told.
+    /// Merges a verdict that this node reached or received.
     pub fn merge_verdict(&self, order: &OrderId, verdict: Verdict, now: Instant) -> bool {
         let mut registry = self.lock();
         let known = registry.get_mut(&order.service).filter(|known| known.order.id == *order);
@@ -231,7 +236,7 @@
         true
     }
 
-    /// All orders, to be told.
+    /// Returns all orders, to send to peers.
     pub fn orders(&self, now: Instant) -> Vec<OrderUpdate> {
         let news = |known: &KnownOrder| OrderUpdate {
             order: known.order.clone(),
@@ -243,7 +248,7 @@
         self.lock().values().map(news).collect()
     }
 
-    /// The stages that hold, to be told.
+    /// Returns the stages that have not expired, to send to peers.
     pub fn stages(&self, now: Instant) -> Vec<StageUpdate> {
         let registry = self.lock();
         let holds = |known: &&KnownOrder| {
@@ -258,12 +263,13 @@
         registry.values().filter(holds).filter(|known| known.mark > (0, 0)).map(news).collect()
     }
 
-    /// Which back ends a request may go to; `None`: any.
+    /// Returns the rule for a request; `None` if it may go to any back end.
     pub fn rule(&self, service: &ServiceName, request: Option<&str>, now: Instant) -> Option<VersionRule> {
         self.lock().get(service)?.rule(request, now)
     }
 
-    /// Whether a service's traffic is being moved: back ends of both versions run, and neither are spare ones.
+    /// Whether a rollout of a service is running. Back ends of both versions are then needed, so neither
+    /// are surplus.
     pub fn is_running(&self, service: &ServiceName) -> bool {
         let registry = self.lock();
         registry.get(service).is_some_and(|known| known.verdict == Verdict::Running && !known.is_withdrawn)
@@ -276,14 +282,14 @@
         }
     }
 
-    /// Counts a request that is sent to a back end of a version.
+    /// Counts a request that is sent to a back end of the given version.
     pub fn note_sent(&self, service: &ServiceName, version: &EngineVersion) {
         if let Some(known) = self.lock().get_mut(service) {
             known.own.exposed += u64::from(known.order.id.target == *version);
         }
     }
 
-    /// Counts an answer of a back end of a version.
+    /// Counts an answer from a back end of the given version.
     pub fn note_answer(
         &self,
         service: &ServiceName,
@@ -299,17 +305,18 @@
         answers.entry((route.to_owned(), back_end.clone())).or_default().note(is_bad);
     }
 
-    /// What this node counted of each order that runs, to be told.
+    /// Returns what this node counted for each running order, to send to peers.
     pub fn own_evidence(&self) -> Vec<(OrderId, Evidence)> {
         self.collect(|known| known.own.clone())
     }
 
-    /// What this node and all that tell their own counted, to be told to other zones.
+    /// Returns the counts of this node and of all nodes that report to it directly, to send to other
+    /// zones.
     pub fn evidence_of_nodes(&self) -> Vec<(OrderId, Evidence)> {
         self.collect(|known| sum(&known.own, known.nodes.values()))
     }
 
-    /// What all nodes counted.
+    /// Returns the counts of all nodes.
     pub fn evidence(&self, order: &OrderId) -> Evidence {
         let registry = self.lock();
         let known = registry.get(&order.service).filter(|known| known.order.id == *order);
@@ -325,17 +332,17 @@
         running.map(|known| (known.order.id.clone(), of(known))).collect()
     }
 
-    /// Takes what one life of another node counted.
+    /// Merges the counts of one incarnation of another node.
     pub fn merge_node_evidence(&self, node: &NodeId, life: u64, reported: &[(OrderId, Evidence)]) {
         self.merge_evidence(reported, |known| known.nodes.entry((node.clone(), life)).or_default());
     }
 
-    /// Takes what the nodes of another zone counted.
+    /// Merges the summed counts of another zone.
     pub fn merge_zone_evidence(&self, zone: &ZoneName, reported: &[(OrderId, Evidence)]) {
         self.merge_evidence(reported, |known| known.zones.entry(zone.clone()).or_default());
     }
 
-    /// Forgets what a node told by itself: it comes with its zone's sums from now on.
+    /// Removes what a node reported directly; from now on its counts are part of its zone's sums.
     pub fn remove_node_evidence(&self, node: &NodeId) {
         for known in self.lock().values_mut() {
             known.nodes.retain(|(reporter, _), _| reporter != node);
--- a/crates/beamwall-rollout/src/rollout.rs
+++ b/crates/beamwall-rollout/src/rollout.rs
@@ -1,4 +1,5 @@
-//! The `Rollout` aggregate: one order from its start to its verdict, as run by the node that holds the lease.
+//! The `Rollout` aggregate: one order from its start to its verdict, run by the node that holds the
+//! lease.
 
 use std::time::Duration;
 
@@ -11,34 +12,38 @@
 use crate::schedule::{self, Traffic};
 use crate::stage::{Stage, Verdict};
 
-/// Least back ends of the new version in use: what one of them does says little of all.
+/// Minimum number of active back ends of the new version: a single back end says little about the
+/// version.
 const MIN_ACTIVE_BACK_ENDS: usize = 5;
-/// Part of the old version's back ends that the new one needs before it takes all: it may be faster, and back ends that start
-/// meanwhile are ordered.
+/// Back ends of the new version, as a fraction of the old version's, that are needed before the new
+/// version receives all requests. The new version may be faster, and back ends that start in the
+/// meantime are ordered.
 const MIN_CAPACITY_RATIO: f64 = 0.7;
-/// Answers of the new version without which it does not take all requests before the order's end.
+/// Answers of the new version that are needed before it receives all requests ahead of the order's end.
 const MIN_ANSWERS: u64 = 10;
-/// Time after the order's end for which a version that has taken all waits for requests that still run at the old one.
+/// Time after the order's end for which a version that receives all requests waits for those still
+/// running at the old one.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(15);
-/// Bad answers from which the time runs in which a bad version must be rolled back.
+/// Number of bad answers that starts the time limit for rolling back a bad version.
 const BAD_ANSWER_LIMIT: u64 = 50;
-/// Part of that time after which suspicion is enough: the rest is for telling all nodes.
+/// Fraction of that time limit after which a probable finding is sufficient; the rest is for notifying
+/// all nodes.
 const DECISION_FRACTION: f64 = 0.4;
-/// Weight of the newest rate of requests.
+/// Weight of the latest measurement in the smoothed request rate.
 const RATE_SMOOTHING: f64 = 0.3;
 
-/// The back ends of both versions.
+/// Number of back ends of both versions, and the load on the old one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionCapacity {
-    /// Back ends of the new version that take requests.
+    /// Back ends of the new version that accept requests.
     pub new: usize,
-    /// Those of other versions.
+    /// Back ends of other versions.
     pub old: usize,
-    /// Requests that run at those.
+    /// Requests running on the back ends of other versions.
     pub running_at_old: u64,
 }
 
-/// One order.
+/// The state of one rollout.
 #[derive(Debug, Clone)]
 pub struct Rollout {
     order: RolloutOrder,
@@ -47,7 +52,7 @@
     detector: Detector,
     per_second: Option<f64>,
     last: Option<(Instant, u64)>,
-    /// Since when the new version has given many bad answers.
+    /// When the number of bad answers of the new version reached the limit.
     bad_answer_limit_reached: Option<Instant>,
     stage: Stage,
     verdict: Verdict,
@@ -55,7 +60,7 @@
 }
 
 impl Rollout {
-    /// An order that was given at `began`.
+    /// Starts the rollout of an order that was placed at `began`.
     pub fn new(order: RolloutOrder, bounds: Bounds, began: Instant) -> Self {
         Self {
             order,
@@ -76,17 +81,17 @@
         &self.order
     }
 
-    /// What came of it.
+    /// The verdict so far.
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 
-    /// What all nodes do now.
+    /// The stage that all nodes apply now.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Why the version was found bad, where it was.
+    /// Why the version was found bad; `None` if it was not.
     pub fn finding(&self) -> Option<&Finding> {
         self.finding.as_ref()
     }
@@ -96,7 +101,7 @@
         (self.began + self.order.interval).saturating_duration_since(now)
     }
 
-    /// Takes a verdict that somebody else came to.
+    /// Applies a verdict that another node reached.
     pub fn apply_verdict(&mut self, verdict: Verdict) {
         self.verdict = self.verdict.max(verdict);
         if self.verdict == Verdict::RolledBack {
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Looks at what was counted so far, and decides.
+    /// Evaluates the evidence so far and updates the stage and the verdict.
     pub fn evaluate(&mut self, evidence: &Evidence, capacity: VersionCapacity, now: Instant) -> Verdict {
         if self.verdict.is_final() {
             return self.verdict;
@@ -114,7 +119,7 @@
         self.note_rate(evidence, now);
         let left = self.left(now);
         let is_over = left.is_zero();
-        // A version without back ends can't take the traffic by the order's end.
+        // A version without back ends cannot receive the traffic by the order's end.
         if self.finding.is_some() || is_over && !self.stage.takes_all() && capacity.new == 0 {
             self.apply_verdict(Verdict::RolledBack);
             return self.verdict;
@@ -129,7 +134,7 @@
         self.verdict
     }
 
-    /// Suspicion, where the time in which a bad version must be rolled back runs out.
+    /// Returns a probable finding once the time for rolling back a bad version runs out.
     fn probable_finding_near_deadline(&mut self, evidence: &Evidence, now: Instant) -> Option<Finding> {
         if evidence.new_bad_answers() < BAD_ANSWER_LIMIT {
             return None;
@@ -178,8 +183,9 @@
         }
     }
 
-    /// Whether the new version has taken everything, its answers since then speak for it, and nothing runs at the old one.
-    /// The old back ends are stopped then, so a version that is not known to be good is rather late than taken.
+    /// Whether the new version receives all requests, its answers since then show that it is good, and
+    /// no requests run at the old version. The old back ends are stopped after that, so a version that
+    /// is not known to be good is rather completed late than accepted.
     fn is_complete(&self, capacity: VersionCapacity, now: Instant) -> bool {
         if capacity.old == 0 {
             return capacity.new > 0;
--- a/crates/beamwall-rollout/src/stage.rs
+++ b/crates/beamwall-rollout/src/stage.rs
@@ -1,48 +1,49 @@
-//! How far a rollout has come, as all nodes are told.
+//! The progress of a rollout, as sent to all nodes.
 
 use std::time::Duration;
 
-/// What came of a rollout. A later one in this order replaces an earlier one, whoever tells it.
+/// The result of a rollout. A greater verdict in this order replaces a smaller one, whichever node sends
+/// it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Nothing yet.
+    /// No result yet.
     #[default]
     Running,
-    /// The version is bad: it gets nothing any more.
+    /// The version is bad and receives no more requests.
     RolledBack,
-    /// The version has taken everything. Old back ends have been stopped by then, so this holds even where somebody found the
-    /// version bad in the same moment.
+    /// The version receives all requests. The old back ends have been stopped by then, so this verdict
+    /// stays even if a node finds the version bad at the same time.
     Succeeded,
 }
 
 impl Verdict {
-    /// Whether nothing can replace it that the operator must be told.
+    /// Whether the rollout has ended with a result to report to the operator.
     pub fn is_final(self) -> bool {
         self != Self::Running
     }
 }
 
-/// What nodes do with a service's requests during a rollout.
+/// How nodes distribute a service's requests during a rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stage {
-    /// Share of the requests that go to the new version, 0 to 1, until it takes all.
+    /// Share of the requests that go to the new version, 0 to 1, until it receives all.
     pub share: f64,
-    /// Back ends of the new version among which these are divided.
+    /// Number of back ends of the new version that share these requests.
     pub back_ends: usize,
-    /// Time from now until the new version takes all requests; `None` while that is not known.
+    /// Time from now until the new version receives all requests; `None` if not known yet.
     pub takes_all_in: Option<Duration>,
 }
 
 impl Stage {
-    /// Nothing goes to the new version.
+    /// No requests go to the new version.
     pub const NONE: Self = Self { share: 0.0, back_ends: 0, takes_all_in: None };
 
-    /// The same stage as it is `elapsed` later.
+    /// The stage as it applies after `elapsed`.
     pub fn after(self, elapsed: Duration) -> Self {
         Self { takes_all_in: self.takes_all_in.map(|left| left.saturating_sub(elapsed)), ..self }
     }
 
-    /// Whether the new version takes all requests.
+    /// Whether the new version receives all requests.
     pub fn takes_all(self) -> bool {
         self.takes_all_in == Some(Duration::ZERO)
     }
--- a/crates/beamwall-rollout/src/traffic.rs
+++ b/crates/beamwall-rollout/src/traffic.rs
@@ -1,8 +1,8 @@
-//! Which requests go to the new version, and to which of its back ends.
+//! Selects the requests that go to the new version, and the back ends of that version that receive them.
 //!
-//! Each node decides by a hash of the request, so the share holds over all nodes without a word between them, however unevenly
-//! callers are divided. The first back ends by rendezvous hash take the share: few of them, as full as the old ones, show
-//! what is bad only under load.
+//! Each node decides by a hash of the request, so the share holds over all nodes without coordination,
+//! however unevenly callers are distributed. The first back ends by rendezvous hash receive the share: a
+//! few back ends, loaded as much as the old ones, reveal faults that occur only under load.
 
 use beamwall_model::{BackendId, rendezvous};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -10,20 +10,20 @@
 use crate::order::OrderId;
 use crate::stage::Stage;
 
-/// Whether a request goes to the new version. `request` identifies the try; `None` where it has no identifier goes to the old
-/// one until the new version takes all.
+/// Whether a request goes to the new version. `request` identifies the attempt; a request without an
+/// identifier (`None`) goes to the old version until the new version receives all requests.
 pub fn selects_new_version(order: &OrderId, stage: Stage, request: Option<&str>) -> bool {
     let share = stage.share_now();
     if share >= 1.0 {
         return true;
     }
     let Some(request) = request else { return false };
-    // A hash as a number from 0 to below 1.
+    // Maps the hash to a number in [0, 1).
     let place = xxh3_64_with_seed(request.as_bytes(), order.seed()) as f64 / (u64::MAX as f64 + 1.0);
     place < share
 }
 
-/// The back ends of the new version that take requests in a stage.
+/// Returns the back ends of the new version that receive requests in a stage.
 pub fn active_back_ends<'a>(
     order: &OrderId,
     stage: Stage,
--- a/crates/beamwall-rollout/tests/book.rs
+++ b/crates/beamwall-rollout/tests/book.rs
@@ -1,4 +1,5 @@
-//! What a node knows of orders: verdicts are final, newer orders replace older ones, stages end with their term.
+//! Tests of the rollout registry: verdicts are final, newer orders replace older ones, and stages
+//! expire.
 
 use std::time::Duration;
 
@@ -62,7 +63,7 @@
     assert!(!registry.merge_order(order("v2", 12, Verdict::Running), now));
     registry.merge_stage(&stage(9, 1.0, Some(0)), now);
     assert_eq!(version_choice(&registry, now), Some(VersionChoice::Old));
-    // What the operator was told stands against what somebody found in the same moment.
+    // A success that was reported to the operator overrides a concurrent rollback.
     assert!(registry.merge_order(order("v2", 13, Verdict::Succeeded), now));
     assert_eq!(version_choice(&registry, now), Some(VersionChoice::New));
     assert!(!registry.merge_verdict(&id("v2"), Verdict::RolledBack, now));
@@ -107,8 +108,8 @@
     assert_eq!(registry.evidence_of_nodes()[0].1.requests, 3, "other zones' sums are not reported on");
 }
 
-/// Later versions may come without an order, as engines that replace others one by one.
-/// Answers of the old version as `rows` of back ends, answers and bad ones.
+/// Answers of the old version, given as rows of back end, answers and bad answers. Later versions may
+/// come without an order, as engines that replace others one by one.
 fn old_answers(rows: &[(&str, u64, u64)]) -> Vec<(OrderId, Evidence)> {
     let counts = |(back_end, answers, bad): &(&str, u64, u64)| {
         (("chat".to_owned(), BackendId::new(*back_end)), AnswerCounts { answers: *answers, bad: *bad })
@@ -117,9 +118,10 @@
     vec![(id("v2"), Evidence { requests: 100, old, ..Evidence::default() })]
 }
 
-/// Seen in reading: while builds change, the answers of a zone's old version counted twice. How: the two relays of a zone are of
-/// two builds; one tells the old version's answers by back end, the other as one sum, under no back end's name. Cause: both stood
-/// beside each other in what the zone had told. Proof: below 100 answers became 200, whichever relay told first.
+/// Guards against counting the answers of a zone's old version twice during an upgrade. The two relays
+/// of a zone may run different builds: one reports the old version's answers by back end, the other as
+/// one sum without a back end id. Both used to be added up, so 100 answers became 200, whichever relay
+/// reported first.
 #[test]
 fn answers_of_a_zone_count_once_whichever_build_its_relays_are_of() {
     let sums = old_answers(&[("", 100, 8)]);
@@ -134,7 +136,8 @@
     }
 }
 
-/// Nodes of an earlier build in a zone whose relay tells back ends apart: their sum is a part of the zone's own.
+/// With nodes of both builds in a zone, the relay that reports by back end also reports the sum of the
+/// earlier build's nodes, which must be kept.
 #[test]
 fn a_zone_of_both_builds_keeps_the_sum_of_the_earlier_ones() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
@@ -152,7 +155,7 @@
     registry.merge_order(order("v2", 11, Verdict::Succeeded), now);
     assert_eq!(version_choice(&registry, now + Duration::from_secs(5)), Some(VersionChoice::New));
     assert_eq!(version_choice(&registry, now + Duration::from_secs(30)), None);
-    // Who reads it long after, as at a start, is not bound at all.
+    // A node that reads the order long after the success, for example at startup, applies no rule.
     let started = RolloutRegistry::default();
     started.merge_order(order("v2", 11, Verdict::Succeeded), now);
     assert_eq!(version_choice(&started, now), None);
--- a/crates/beamwall-rollout/tests/simulation.rs
+++ b/crates/beamwall-rollout/tests/simulation.rs
@@ -1,19 +1,20 @@
-//! Rollouts in simulated fleets: good and bad versions, calm and in trouble. Both bounds hold in every play.
+//! Simulates rollouts in fleets: good and bad versions, with and without disruptions. Both bounds hold
+//! in every run.
 //!
-//! The load: gateways that are told stages up to 1.2 s late, answers that take up to 0.6 s and are known to the node that
-//! decides 0.3 to 1.2 s later, back ends of the new version that start 1 to 4 s after the order.
+//! Gateways receive stages up to 1.2 s late. Answers take up to 0.6 s and are known to the deciding node
+//! 0.3 to 1.2 s later. Back ends of the new version start 1 to 4 s after the order.
 
 mod support;
 
 use support::{Defect, Disruption, Fleet, Outcome, simulate};
 
-/// Plays of each case of a good version, and of a bad one.
+/// Runs of each case with a good version, and with a bad one.
 const RUNS: u64 = 12;
 const RUNS_OF_BAD: u64 = 2;
-/// Set to play each case that many times, by hand.
+/// Environment variable that overrides the number of runs of each case.
 const RUNS_VARIABLE: &str = "BEAMWALL_ROLLOUT_PLAYS";
 
-/// Share of bad answers beside the usual ones of a slightly bad version.
+/// Additional share of bad answers of a slightly bad version.
 const SLIGHT_DEFECT_SHARE: f64 = 0.05;
 
 fn runs(usual: u64) -> u64 {
@@ -26,7 +27,7 @@
         for share in [SLIGHT_DEFECT_SHARE, 0.08, 0.2, 0.6] {
             cases.push(Defect { onset, share, ..Defect::NONE });
         }
-        // Three and eight times slower, as shares of answers that count as slow.
+        // Versions that are three and eight times slower, as shares of answers that count as slow.
         cases.push(Defect { onset, share: 0.7, ..Defect::NONE });
         cases.push(Defect { onset, share: 0.98, ..Defect::NONE });
         cases.push(Defect { onset, share: 0.6, route: Some(4), ..Defect::NONE });
@@ -67,7 +68,7 @@
         let what = format!("{fleet:?} {defect:?} {disruption:?} seed {seed}: {outcome:?}");
         if defect.is_bad() {
             assert!(outcome.exposed_part <= 1.0, "exposure: {what}");
-            // The old back ends are stopped then, so nothing can be taken back.
+            // The old back ends are stopped on success, so the version can no longer be rolled back.
             assert!(!outcome.succeeded, "succeeded: {what}");
             if outcome.used_after_rollback {
                 println!("used too long: {what}");
@@ -79,7 +80,7 @@
     summary
 }
 
-/// All fleets with all troubles, each on a thread of its own.
+/// Runs all combinations of fleet and disruption, each on its own thread.
 fn in_all_fleets(run_one: impl Fn(Fleet, Disruption) + Sync) {
     std::thread::scope(|scope| {
         for fleet in [Fleet::SMALL, Fleet::MIDDLE, Fleet::LARGE] {
@@ -131,11 +132,12 @@
     });
 }
 
-/// A version that fails 5 in 100 more got requests later than 5 s after its fiftieth bad answer, in 219 of 600 plays with a tenth
-/// of all back ends in trouble; in small fleets it even succeeded. Two sides of one comparison were counted differently: of the
-/// new version's back ends the worst were left out, of the old one's none. So the back ends in trouble made the old version's
-/// share of bad answers 6 in 100 where its sound ones had 2, and the new version's 7 in 100 looked usual. The shares of the old
-/// version by back end showed it: 53 of 60 had 2 in 100, 7 had 40.
+/// Guards against a slightly bad version that is not rolled back in time. In 219 of 600 runs with a
+/// tenth of all back ends failing, a version with 5 in 100 more bad answers received requests later than
+/// 5 s after its fiftieth bad answer, and in small fleets it even succeeded. The worst back ends were
+/// left out of the new version's share but not of the old one's: 53 of 60 old back ends had 2 in 100 bad
+/// answers and 7 had 40, so the old version's share was 6 in 100 instead of 2, and the new version's 7
+/// in 100 looked usual.
 #[test]
 fn a_slightly_bad_version_is_rolled_back_in_time_while_back_ends_are_in_trouble() {
     for disruption in [Disruption::Crashes, Disruption::Grey] {
@@ -145,8 +147,9 @@
     }
 }
 
-/// Guards against: a good version that is held up for good. By when it is done is a target (docs/CAPACITY.md); in the smallest fleet
-/// too few answers come to be sure that each is done at all.
+/// Guards against a good version whose rollout never completes. The time until completion is a target
+/// (docs/CAPACITY.md). In the smallest fleet there are too few answers to be sure that every rollout
+/// completes.
 #[test]
 fn good_versions_are_done_in_the_end_where_answers_are_many() {
     in_all_fleets(|fleet, disruption| {
--- a/crates/beamwall-rollout/tests/support/mod.rs
+++ b/crates/beamwall-rollout/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet, its traffic and one rollout in simulated time.
+//! Simulates one rollout in a fleet under traffic.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Length of a step.
+/// Length of a simulation step.
 const STEP_MS: u64 = 50;
-/// Time between two looks of the node that decides.
+/// Time between two evaluations on the deciding node.
 const EVALUATION_INTERVAL_MS: u64 = 250;
-/// Time after which a stage that is not told again is over.
+/// Time after which a stage that is not sent again expires.
 const STAGE_TTL_MS: u64 = 4_000;
-/// Length of an order.
+/// Length of the order's interval.
 const INTERVAL_MS: u64 = 12_000;
-/// Time until which a play goes on.
+/// Length of a simulation run.
 const END_MS: u64 = 24_000;
-/// Bad answers after which no more requests may go to a version, after the time allowed.
+/// Number of bad answers that starts the time limit after which a version may receive no more requests.
 const BAD_ANSWER_LIMIT: u64 = 50;
-/// Shares of the routes, and of bad answers of any version there.
+/// For each route, its share of the requests and the share of bad answers of any version.
 const ROUTES: [(f64, f64); 5] = [(0.15, 0.01), (0.35, 0.01), (0.2, 0.02), (0.24, 0.01), (0.06, 0.14)];
-/// Longest time that a stream which may not be moved runs, and its usual time.
+/// Longest and usual duration of a stream that may not be moved.
 const STREAM_MS: (u64, u64) = (600, 200);
 
-/// Time after which the node that decides knows of a stream's end.
+/// Time after which the deciding node learns of a stream's end.
 const REPORT_DELAY_MS: u64 = 300;
 
 const BOUNDS: Bounds =
     Bounds { exposure_share: 0.1, exposure_slack: 50.0, rollback: Duration::from_millis(5_000) };
 
-/// A fleet.
+/// The size and load of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
     pub gateways: usize,
@@ -49,16 +49,16 @@
     pub const LARGE: Self = Self { gateways: 295, per_second: 900.0, back_ends: 160 };
 }
 
-/// In what way a version is bad.
+/// How a version is bad.
 #[derive(Debug, Clone, Copy)]
 pub struct Defect {
-    /// Part of the order's time after which it is.
+    /// Fraction of the order's interval after which the defect appears.
     pub onset: f64,
-    /// Share of its answers that are bad beside the usual ones.
+    /// Additional share of bad answers.
     pub share: f64,
-    /// The only route on which it is.
+    /// The only affected route; `None` if all are affected.
     pub route: Option<usize>,
-    /// Whether only back ends are that are as full as the old ones.
+    /// Whether only back ends are affected that are loaded as much as the old ones.
     pub under_load: bool,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// What else happens.
+/// A disruption during the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disruption {
     Calm,
@@ -78,9 +78,9 @@
     Crashes,
     /// A tenth of the back ends of both versions fail four in ten requests.
     Grey,
-    /// The node that decides is killed, and another follows five seconds later.
+    /// The deciding node is killed, and another takes over five seconds later.
     HolderKilled,
-    /// Half of the gateways hear nothing for five seconds.
+    /// Half of the gateways receive no messages for five seconds.
     Cut,
 }
 
@@ -88,19 +88,20 @@
     pub const ALL: [Self; 5] = [Self::Calm, Self::Crashes, Self::Grey, Self::HolderKilled, Self::Cut];
 }
 
-/// What came of a play.
+/// The result of a simulation run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     pub rolled_back: bool,
     pub succeeded: bool,
     pub succeeded_in_time: bool,
-    /// Requests that the new version got by the order's end, as a part of those allowed of a bad one.
+    /// Requests that the new version received by the order's end, as a fraction of those allowed for a
+    /// bad version.
     pub exposed_part: f64,
-    /// Whether it got requests too long after many bad answers.
+    /// Whether the version received requests too long after it reached the limit of bad answers.
     pub used_after_rollback: bool,
 }
 
-/// What a gateway was told last.
+/// The last state that a gateway received.
 #[derive(Debug, Clone, Copy)]
 struct GatewayState {
     stage: Stage,
@@ -108,7 +109,7 @@
     verdict: Verdict,
 }
 
-/// An answer that was counted.
+/// One counted answer.
 struct Answer {
     route: usize,
     back_end: BackendId,
@@ -124,13 +125,13 @@
     order: OrderId,
     old: Vec<BackendId>,
     new: Vec<BackendId>,
-    /// When each back end of the new version starts.
+    /// Start time of each back end of the new version.
     starts_ms: Vec<u64>,
     disrupted: Vec<BackendId>,
     disruption_ms: u64,
-    /// What each gateway knows, and what is on the way to it.
+    /// The last state that each gateway received.
     received: Vec<GatewayState>,
-    /// Answers on their way to the node that decides, by the step in which they are known.
+    /// Answers in transit to the deciding node, by the step in which they arrive.
     answers: BTreeMap<u64, Vec<Answer>>,
     requests_known: BTreeMap<u64, (u64, u64)>,
     old_ends_ms: Vec<u64>,
@@ -139,7 +140,7 @@
     requests: u64,
 }
 
-/// Plays one rollout.
+/// Simulates one rollout.
 pub fn simulate(fleet: Fleet, defect: Defect, disruption: Disruption, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let ids = |prefix: &str| -> Vec<BackendId> {
@@ -193,7 +194,7 @@
             let is_killed = self.disruption == Disruption::HolderKilled
                 && (self.disruption_ms..self.disruption_ms + 5_000).contains(&now_ms);
             if is_killed && !rollout.verdict().is_final() {
-                // Whoever follows knows the order, when it was given, and what is counted.
+                // The next lease holder knows the order, when it was placed, and the counts so far.
                 rollout = Rollout::new(order.clone(), BOUNDS, began);
                 continue;
             }
@@ -309,7 +310,7 @@
             self.old_ends_ms.retain(|ends| *ends + 700 > now_ms);
             self.old_ends_ms.push(now_ms + runs_ms);
         }
-        // Nodes tell each other at once while the new version takes all.
+        // Nodes report to each other immediately while the new version receives all requests.
         let most = if stage.takes_all() { 7 } else { 24 };
         let report_delay_ms = self.random.random_range(2..=most) * STEP_MS;
         let exposed = u64::from(new.is_some());
