--- a/crates/beamwall-quarantine/src/evidence.rs
+++ b/crates/beamwall-quarantine/src/evidence.rs
@@ -70,12 +70,12 @@
                 evidence.trials.push(trial);
             }
         }
-        let ending = |((backend, at_ms), open): ((&BackendId, u64), _)| Termination {
+        let to_termination = |((backend, at_ms), open): ((&BackendId, u64), _)| Termination {
             backend: backend.clone(),
             at_ms,
             open,
         };
-        evidence.endings = endings.into_iter().map(ending).collect();
+        evidence.endings = endings.into_iter().map(to_termination).collect();
         evidence
     }
 
--- a/crates/beamwall-quarantine/src/hold_decision.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -67,16 +67,16 @@
     }
 
     fn next_trial_ms(&self, is_in_doubt: bool) -> Option<u64> {
-        let pauses = if is_in_doubt { TRIAL_DELAYS_IN_DOUBT } else { TRIAL_DELAYS };
-        let pause = pauses.get(self.suspect.trials as usize)?;
-        Some(self.suspect.last_activity_ms().saturating_add(to_ms(*pause)))
+        let delays = if is_in_doubt { TRIAL_DELAYS_IN_DOUBT } else { TRIAL_DELAYS };
+        let delay = delays.get(self.suspect.trials as usize)?;
+        Some(self.suspect.last_activity_ms().saturating_add(to_ms(*delay)))
     }
 }
 
 /// Returns the requests to hold. `ended` lists further terminations, at which no known request was open.
 pub fn held_requests(
     suspects: &BTreeMap<Fingerprint, Suspect>,
-    ended: &BTreeMap<BackendId, u64>,
+    unattributed: &BTreeMap<BackendId, u64>,
 ) -> HashMap<Fingerprint, HoldState> {
     let times = termination_times(suspects);
     let to_candidate = |(request, suspect)| candidate(request, suspect, &times);
@@ -89,13 +89,13 @@
         let explains = |backend: &BackendId, other: &&Candidate<'_>| {
             other.takes_precedence_over(candidate) && other.endings.contains(backend)
         };
-        let is_own = |backend: &&&BackendId| !confirmed.iter().any(|other| explains(backend, other));
-        if candidate.endings.iter().filter(is_own).count() >= TERMINATIONS_UNTIL_HELD {
+        let is_unexplained = |backend: &&&BackendId| !confirmed.iter().any(|other| explains(backend, other));
+        if candidate.endings.iter().filter(is_unexplained).count() >= TERMINATIONS_UNTIL_HELD {
             confirmed.push(candidate);
         }
     }
     let confirmed = without_explained_by_others(&confirmed);
-    let has_other_causes = most_terminations_unexplained(suspects, ended, &confirmed);
+    let has_other_causes = most_terminations_unexplained(suspects, unattributed, &confirmed);
     confirmed.iter().map(|one| (one.request, hold_state(one, &confirmed, has_other_causes))).collect()
 }
 
@@ -115,17 +115,17 @@
 /// for another reason.
 fn most_terminations_unexplained(
     suspects: &BTreeMap<Fingerprint, Suspect>,
-    ended: &BTreeMap<BackendId, u64>,
+    unattributed: &BTreeMap<BackendId, u64>,
     confirmed: &[&Candidate<'_>],
 ) -> bool {
     if confirmed.is_empty() {
         return false;
     }
     let under_suspects = suspects.values().flat_map(|suspect| suspect.endings.keys());
-    let ended: HashSet<&BackendId> = under_suspects.chain(ended.keys()).collect();
+    let unattributed: HashSet<&BackendId> = under_suspects.chain(unattributed.keys()).collect();
     let is_explained = |backend: &&&BackendId| confirmed.iter().any(|one| one.endings.contains(**backend));
-    let explained = ended.iter().filter(is_explained).count();
-    ended.len() - explained > explained
+    let explained = unattributed.iter().filter(is_explained).count();
+    unattributed.len() - explained > explained
 }
 
 /// Returns the earliest observed time of each termination. Nodes observe the same termination some
@@ -145,9 +145,10 @@
     times: &HashMap<&BackendId, u64>,
 ) -> Option<Candidate<'a>> {
     let endings: HashSet<&BackendId> = suspect.counted_terminations().map(|(backend, _)| backend).collect();
-    let mut at: Vec<u64> = endings.iter().filter_map(|backend| times.get(backend)).copied().collect();
-    at.sort_unstable();
-    let threshold_reached_ms = *at.get(TERMINATIONS_UNTIL_HELD - 1)?;
+    let mut ended_at_ms: Vec<u64> =
+        endings.iter().filter_map(|backend| times.get(backend)).copied().collect();
+    ended_at_ms.sort_unstable();
+    let threshold_reached_ms = *ended_at_ms.get(TERMINATIONS_UNTIL_HELD - 1)?;
     Some(Candidate { request: *request, suspect, endings, threshold_reached_ms })
 }
 
--- a/crates/beamwall-quarantine/src/registry.rs
+++ b/crates/beamwall-quarantine/src/registry.rs
@@ -140,8 +140,8 @@
     /// Records a back end termination that this node observed, with the requests that this node had open
     /// there.
     pub fn note_termination(&self, backend: &BackendId, open: Vec<Fingerprint>, now_ms: u64) {
-        let ending = Termination { backend: backend.clone(), at_ms: now_ms, open };
-        self.note(Evidence { endings: vec![ending], ..Evidence::default() }, now_ms);
+        let termination = Termination { backend: backend.clone(), at_ms: now_ms, open };
+        self.note(Evidence { endings: vec![termination], ..Evidence::default() }, now_ms);
     }
 
     /// Records a termination without an open request of this node. These show how often back ends
@@ -252,10 +252,10 @@
         let freed =
             before.all_held().map(|(request, _)| *request).filter(|request| !held.contains_key(request));
         state.changes.freed.extend(freed);
-        let kept = state.suspects.iter().filter(|(request, _)| held.contains_key(request));
+        let persistent = state.suspects.iter().filter(|(request, _)| held.contains_key(request));
         let view = View {
             digest: digest(state.suspects.iter()),
-            persistent_digest: digest(kept),
+            persistent_digest: digest(persistent),
             suspects: state.suspects.keys().map(|request| (*request, held.get(request).copied())).collect(),
         };
         self.view.store(Arc::new(view));
@@ -310,14 +310,14 @@
 
     /// Evicts the suspects of lowest priority if there are more than [`MAX_SUSPECTS`].
     fn evict_excess(&mut self) {
-        let too_many = self.suspects.len().saturating_sub(MAX_SUSPECTS);
-        if too_many == 0 {
+        let excess = self.suspects.len().saturating_sub(MAX_SUSPECTS);
+        if excess == 0 {
             return;
         }
-        let mut weights: Vec<((usize, u64), Fingerprint)> =
+        let mut priorities: Vec<((usize, u64), Fingerprint)> =
             self.suspects.iter().map(|(request, suspect)| (suspect.retention_priority(), *request)).collect();
-        weights.select_nth_unstable(too_many - 1);
-        for (_, request) in &weights[..too_many] {
+        priorities.select_nth_unstable(excess - 1);
+        for (_, request) in &priorities[..excess] {
             self.suspects.remove(request);
         }
     }
--- a/crates/beamwall-quarantine/src/suspect.rs
+++ b/crates/beamwall-quarantine/src/suspect.rs
@@ -64,8 +64,8 @@
 
     /// Terminations that count towards the hold threshold: those after the last completion.
     pub fn counted_terminations(&self) -> impl Iterator<Item = (&BackendId, u64)> {
-        let ended = self.endings.iter().map(|(backend, at_ms)| (backend, *at_ms));
-        ended.filter(|(_, at_ms)| *at_ms > self.completed_ms)
+        let times_ms = self.endings.iter().map(|(backend, at_ms)| (backend, *at_ms));
+        times_ms.filter(|(_, at_ms)| *at_ms > self.completed_ms)
     }
 
     /// Whether enough terminations count for the request to be held.
@@ -75,14 +75,14 @@
 
     /// The time from which the retention period is measured.
     pub fn last_activity_ms(&self) -> u64 {
-        let ended = self.endings.values().copied().max().unwrap_or(0);
-        ended.max(self.trial_ms)
+        let times_ms = self.endings.values().copied().max().unwrap_or(0);
+        times_ms.max(self.trial_ms)
     }
 
     /// Whether the retention period is over.
     pub fn is_expired(&self, now_ms: u64) -> bool {
-        let kept = if self.reaches_hold_threshold() { HOLD_RETENTION } else { SUSPECT_RETENTION };
-        now_ms > self.last_activity_ms().saturating_add(to_ms(kept))
+        let retention = if self.reaches_hold_threshold() { HOLD_RETENTION } else { SUSPECT_RETENTION };
+        now_ms > self.last_activity_ms().saturating_add(to_ms(retention))
     }
 
     /// Sort key for eviction: the suspects with the greatest keys are retained.
--- a/crates/beamwall-quarantine/tests/fingerprint.rs
+++ b/crates/beamwall-quarantine/tests/fingerprint.rs
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_body_that_comes_in_other_parts_is_the_same() {
+fn the_fingerprint_does_not_depend_on_body_chunks_or_host_case() {
     let whole = fingerprint(Some("alder"), "a.example", "/chat/", &[b"one two"]);
     assert_eq!(fingerprint(Some("alder"), "a.example", "/chat/", &[b"one", b" ", b"two"]), whole);
     assert_eq!(fingerprint(Some("alder"), "A.Example", "/chat/", &[b"", b"one two"]), whole);
 }
 
 #[test]
-fn caller_host_path_query_and_body_all_count() {
+fn caller_host_path_query_and_body_change_the_fingerprint() {
     let all = [
         fingerprint(Some("alder"), "a.example", "/chat/", &[b"one"]),
         fingerprint(Some("birch"), "a.example", "/chat/", &[b"one"]),
--- a/crates/beamwall-quarantine/tests/book.rs
+++ b/crates/beamwall-quarantine/tests/registry.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_is_held_from_the_third_end_on() {
+fn a_request_is_held_after_the_third_termination() {
     let registry = QuarantineRegistry::default();
     let lists: [&[&str]; 3] = [&["bad", "a"], &["bad", "b"], &["bad", "c"]];
     assert_eq!(TERMINATIONS_UNTIL_HELD, lists.len());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_same_end_told_twice_counts_once() {
+fn a_termination_reported_twice_counts_once() {
     let registry = QuarantineRegistry::default();
     for delay_ms in [0, 3, 1, 7] {
         registry.note_termination(&engine(1), vec![request("bad")], START_MS + delay_ms);
@@ -68,22 +68,22 @@
 }
 
 #[test]
-fn who_runs_to_an_end_is_free_of_what_was_before() {
+fn a_completion_clears_earlier_terminations() {
     let registry = QuarantineRegistry::default();
     let now_ms = note_terminations(&registry, &[&["a"], &["a"]]);
     assert!(registry.note_completion(&request("a"), now_ms + 1));
-    assert!(!registry.note_completion(&request("a"), now_ms + 2), "there is nothing to tell any more");
+    assert!(!registry.note_completion(&request("a"), now_ms + 2), "no termination counts any more");
     registry.note_termination(&engine(7), vec![request("a")], now_ms + 10);
     registry.note_termination(&engine(8), vec![request("a")], now_ms + 20);
     assert!(is_free(&registry, "a", now_ms + 30));
     registry.note_termination(&engine(9), vec![request("a")], now_ms + 30);
     assert!(!is_free(&registry, "a", now_ms + 30));
     registry.note_completion(&request("a"), now_ms + 40);
-    assert!(is_free(&registry, "a", now_ms + 40), "so is one that was held");
+    assert!(is_free(&registry, "a", now_ms + 40), "a completion releases a held request, too");
 }
 
 #[test]
-fn ends_that_a_stronger_request_explains_do_not_count() {
+fn terminations_explained_by_a_stronger_candidate_do_not_count() {
     let registry = QuarantineRegistry::default();
     // `beside` was resent repeatedly while `bad` terminated one engine after another.
     let lists: [&[&str]; 5] =
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_innocent_that_met_two_culprits_is_freed_when_they_are_known() {
+fn an_innocent_request_is_released_once_both_culprits_are_held() {
     let registry = QuarantineRegistry::default();
     let lists: [&[&str]; 8] = [
         &["first", "beside"],
@@ -107,22 +107,25 @@
         &["second"],
     ];
     let now_ms = note_terminations(&registry, &lists[..4]);
-    assert!(!is_free(&registry, "beside", now_ms), "at that time it is the only one at three ends");
+    assert!(
+        !is_free(&registry, "beside", now_ms),
+        "so far it is the only request open at three terminations"
+    );
     let now_ms = note_terminations(&registry, &lists);
     assert!(!is_free(&registry, "first", now_ms) && !is_free(&registry, "second", now_ms));
     assert!(is_free(&registry, "beside", now_ms));
 }
 
 #[test]
-fn who_shares_all_ends_with_another_is_held_in_doubt_and_tried_soon() {
+fn requests_sharing_all_terminations_are_held_in_doubt_and_retried_soon() {
     let registry = QuarantineRegistry::default();
     let now_ms = note_terminations(&registry, &[&["bad", "beside"], &["bad", "beside"], &["bad", "beside"]]);
-    let pause = TRIAL_DELAYS_IN_DOUBT[0];
+    let delay = TRIAL_DELAYS_IN_DOUBT[0];
     for name in ["bad", "beside"] {
-        let held = RequestStatus::Held { endings: 3, retry_after: Some(pause) };
+        let held = RequestStatus::Held { endings: 3, retry_after: Some(delay) };
         assert_eq!(registry.request_status(&request(name), now_ms), held);
     }
-    let due_ms = now_ms + ms(pause);
+    let due_ms = now_ms + ms(delay);
     assert!(matches!(
         registry.request_status(&request("bad"), due_ms),
         RequestStatus::TrialDue { number: 1, is_in_doubt: true, .. }
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn who_is_told_of_some_milliseconds_earlier_explains_nothing() {
+fn observation_delays_do_not_decide_which_request_came_first() {
     let registry = QuarantineRegistry::default();
     let mut now_ms = START_MS;
     for number in 0..3 {
@@ -159,15 +162,15 @@
 }
 
 #[test]
-fn a_clear_case_gets_two_trials_in_all() {
+fn a_clear_culprit_gets_two_trials() {
     let registry = QuarantineRegistry::default();
     let mut now_ms = note_terminations(&registry, &[&["bad"], &["bad"], &["bad"]]);
-    for (number, pause) in (1..).zip(TRIAL_DELAYS) {
+    for (number, delay) in (1..).zip(TRIAL_DELAYS) {
         assert!(!matches!(
-            registry.request_status(&request("bad"), now_ms + ms(pause) - 1),
+            registry.request_status(&request("bad"), now_ms + ms(delay) - 1),
             RequestStatus::TrialDue { .. }
         ));
-        now_ms += ms(pause);
+        now_ms += ms(delay);
         assert!(
             matches!(registry.request_status(&request("bad"), now_ms), RequestStatus::TrialDue { number: due, .. } if due == number)
         );
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_suspicion_is_forgotten() {
+fn a_suspect_expires() {
     let registry = QuarantineRegistry::default();
     let now_ms = note_terminations(&registry, &[&["a"], &["a"]]);
     let later_ms = now_ms + ms(SUSPECT_RETENTION) + 1;
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn a_flood_of_other_requests_displaces_no_held_one() {
+fn a_flood_of_suspects_does_not_evict_a_held_request() {
     let registry = QuarantineRegistry::default();
     note_terminations(&registry, &[&["bad"], &["bad"], &["bad"]]);
     for number in 0..200 {
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn what_is_kept_holds_the_same_requests_in_a_new_book() {
+fn a_restored_registry_holds_the_same_requests() {
     let registry = QuarantineRegistry::default();
     let now_ms = note_terminations(&registry, &[&["bad", "a"], &["bad", "b"], &["bad"]]);
     registry.note_trial(&request("bad"), 1, now_ms + 5);
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn nodes_that_exchange_all_they_know_agree() {
+fn nodes_agree_after_exchanging_all_evidence() {
     on_seeds(2_000, |input| {
         let books =
             [QuarantineRegistry::default(), QuarantineRegistry::default(), QuarantineRegistry::default()];
--- a/crates/beamwall-quarantine/tests/simulation.rs
+++ b/crates/beamwall-quarantine/tests/simulation.rs
@@ -22,7 +22,7 @@
 const RUN_MS: u64 = 60_000;
 const START_MS: u64 = 1_700_000_000_000;
 const RESTART_MS: u64 = 4_000;
-const CULPRIT_RUNS_MS: u64 = 60;
+const CULPRIT_RUN_TIME_MS: u64 = 60;
 const CULPRIT_PERIOD_MS: u64 = 250;
 const PROPAGATION_MS: u64 = 100;
 const RETRY_PROBABILITY: f64 = 0.9;
@@ -59,8 +59,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { request: usize, attempt: u32 },
-    Ends { engine: usize, life: u32, request: Option<usize> },
-    Completes { engine: usize, life: u32, request: usize },
+    Ends { engine: usize, incarnation: u32, request: Option<usize> },
+    Completes { engine: usize, incarnation: u32, request: usize },
     Restarted { engine: usize },
     Propagated { ending: usize },
     PowerLoss { third: usize },
@@ -69,7 +69,7 @@
 
 #[derive(Default)]
 struct Engine {
-    life: u32,
+    incarnation: u32,
     is_down: bool,
     open: Vec<(usize, u32)>,
 }
@@ -85,7 +85,7 @@
     /// Innocent requests that are held when the simulation ends.
     held_at_the_end: usize,
     /// Those of them that are still held after their next trial.
-    held_for_good: usize,
+    held_permanently: usize,
     /// The longest time from the first refusal of an innocent request until it was admitted.
     longest_refused_ms: u64,
 }
@@ -126,17 +126,17 @@
             outcome: Outcome { late: vec![0; culprits.len()], ..Outcome::default() },
             culprits,
         };
-        simulation.plan(scenario);
+        simulation.schedule_events(scenario);
         while let Some(Reverse((at_ms, event))) = simulation.events.pop() {
             simulation.now_ms = at_ms;
             simulation.handle(event, scenario);
         }
-        simulation.conclude()
+        simulation.finish()
     }
 
-    fn plan(&mut self, scenario: &Scenario) {
+    fn schedule_events(&mut self, scenario: &Scenario) {
         for (culprit, (begins_ms, stops_ms)) in self.culprits.clone().into_iter().enumerate() {
-            self.name();
+            self.new_fingerprint();
             let mut at_ms = begins_ms;
             while at_ms < stops_ms {
                 self.add(at_ms, Event::Arrives { request: culprit, attempt: MAX_ATTEMPTS });
@@ -145,7 +145,7 @@
         }
         let mut at_ms = 0.0;
         while at_ms < RUN_MS as f64 {
-            let request = self.name();
+            let request = self.new_fingerprint();
             self.add(at_ms as u64, Event::Arrives { request, attempt: 1 });
             at_ms += -self.random.random_range(f64::EPSILON..1.0_f64).ln() * 1_000.0 / REQUESTS_PER_S;
         }
@@ -157,7 +157,7 @@
         }
     }
 
-    fn name(&mut self) -> usize {
+    fn new_fingerprint(&mut self) -> usize {
         let number = self.fingerprints.len();
         self.fingerprints
             .push(FingerprintHasher::new(Some("alder"), "a.example", &number.to_string()).finish());
@@ -175,14 +175,18 @@
     fn handle(&mut self, event: Event, scenario: &Scenario) {
         match event {
             Event::Arrives { request, attempt } => self.arrive(request, attempt),
-            Event::Ends { engine, life, request } if self.engines[engine].life == life => {
+            Event::Ends { engine, incarnation, request }
+                if self.engines[engine].incarnation == incarnation =>
+            {
                 if let Some(request) = request {
                     self.culprit_ends.entry(request).or_default().push(self.now_ms);
                     self.outcome.ended_by_culprits += 1;
                 }
-                self.end(engine);
+                self.terminate_engine(engine);
             }
-            Event::Completes { engine, life, request } if self.engines[engine].life == life => {
+            Event::Completes { engine, incarnation, request }
+                if self.engines[engine].incarnation == incarnation =>
+            {
                 self.engines[engine].open.retain(|(other, _)| *other != request);
                 self.registry.note_completion(&self.fingerprints[request], START_MS + self.now_ms);
                 self.counts.remove(&self.fingerprints[request]);
@@ -195,11 +199,13 @@
                 self.registry.note_termination(&backend, open, at_ms);
             }
             Event::PowerLoss { third } => {
-                (0..ENGINES).filter(|engine| engine % 3 == third).for_each(|engine| self.end(engine));
+                (0..ENGINES)
+                    .filter(|engine| engine % 3 == third)
+                    .for_each(|engine| self.terminate_engine(engine));
             }
             Event::Crash => {
                 let engine = self.random.random_range(0..ENGINES);
-                self.end(engine);
+                self.terminate_engine(engine);
                 if self.now_ms + scenario.crash_period_ms < RUN_MS {
                     self.add(self.now_ms + scenario.crash_period_ms, Event::Crash);
                 }
@@ -209,18 +215,18 @@
 
     fn arrive(&mut self, request: usize, attempt: u32) {
         let now_ms = START_MS + self.now_ms;
-        let name = self.fingerprints[request];
+        let fingerprint = self.fingerprints[request];
         let refused_retry_delay = Some(REFUSED_RETRY_DELAY_MS);
         let refused_for = match self.strategy {
             Strategy::Count(ends) => {
-                self.counts.get(&name).filter(|count| **count >= ends).and(refused_retry_delay)
+                self.counts.get(&fingerprint).filter(|count| **count >= ends).and(refused_retry_delay)
             }
-            Strategy::Registry => match self.registry.request_status(&name, now_ms) {
+            Strategy::Registry => match self.registry.request_status(&fingerprint, now_ms) {
                 RequestStatus::Free => None,
                 RequestStatus::Held { retry_after: Some(after), .. } => Some(after.as_millis() as u64),
                 RequestStatus::Held { .. } => refused_retry_delay,
                 RequestStatus::TrialDue { number, .. } => {
-                    self.registry.note_trial(&name, number, now_ms);
+                    self.registry.note_trial(&fingerprint, number, now_ms);
                     None
                 }
             },
@@ -237,18 +243,18 @@
             return;
         }
         let engine = up[self.random.random_range(0..up.len())];
-        let life = self.engines[engine].life;
+        let incarnation = self.engines[engine].incarnation;
         self.engines[engine].open.push((request, attempt));
         if self.is_culprit(request) {
             let third = self.culprit_ends.get(&request).and_then(|ends| ends.get(2)).copied();
             if third.is_some_and(|third| self.now_ms > third + DETECTION_DEADLINE_MS) {
                 self.outcome.late[request] += 1;
             }
-            let ends = Event::Ends { engine, life, request: Some(request) };
-            self.add(self.now_ms + CULPRIT_RUNS_MS, ends);
+            let ends = Event::Ends { engine, incarnation, request: Some(request) };
+            self.add(self.now_ms + CULPRIT_RUN_TIME_MS, ends);
         } else {
             let takes_ms = self.random.random_range(200..2_500);
-            self.add(self.now_ms + takes_ms, Event::Completes { engine, life, request });
+            self.add(self.now_ms + takes_ms, Event::Completes { engine, incarnation, request });
         }
     }
 
@@ -265,12 +271,12 @@
     }
 
     /// Terminates an engine with all the requests it runs.
-    fn end(&mut self, engine: usize) {
+    fn terminate_engine(&mut self, engine: usize) {
         if self.engines[engine].is_down {
             return;
         }
-        let backend = BackendId::new(format!("i-{engine}@{}", self.engines[engine].life));
-        self.engines[engine].life += 1;
+        let backend = BackendId::new(format!("i-{engine}@{}", self.engines[engine].incarnation));
+        self.engines[engine].incarnation += 1;
         self.engines[engine].is_down = true;
         self.add(self.now_ms + RESTART_MS, Event::Restarted { engine });
         let open = std::mem::take(&mut self.engines[engine].open);
@@ -279,13 +285,13 @@
         self.add(self.now_ms + PROPAGATION_MS, Event::Propagated { ending: self.endings.len() - 1 });
         for (request, attempt) in open {
             if attempt < MAX_ATTEMPTS && self.random.random_bool(RETRY_PROBABILITY) {
-                let again = Event::Arrives { request, attempt: attempt + 1 };
-                self.add(self.now_ms + RETRY_DELAY_MS, again);
+                let retry = Event::Arrives { request, attempt: attempt + 1 };
+                self.add(self.now_ms + RETRY_DELAY_MS, retry);
             }
         }
     }
 
-    fn conclude(mut self) -> Outcome {
+    fn finish(mut self) -> Outcome {
         let culprits: HashSet<Fingerprint> =
             self.fingerprints[..self.culprits.len()].iter().copied().collect();
         let held: Vec<Fingerprint> = match self.strategy {
@@ -298,7 +304,7 @@
         let innocents: Vec<&Fingerprint> =
             held.iter().filter(|request| !culprits.contains(*request)).collect();
         self.outcome.held_at_the_end = innocents.len();
-        self.outcome.held_for_good = match self.strategy {
+        self.outcome.held_permanently = match self.strategy {
             Strategy::Registry => {
                 innocents.iter().filter(|request| !self.is_freed_by_its_trial(request)).count()
             }
@@ -329,7 +335,7 @@
     refused_innocents: usize,
     most_refused_innocents: usize,
     held_at_the_end: usize,
-    held_for_good: usize,
+    held_permanently: usize,
     longest_refused_ms: u64,
 }
 
@@ -342,7 +348,7 @@
         refused_innocents: refused.clone().sum(),
         most_refused_innocents: refused.max().unwrap_or(0),
         held_at_the_end: outcomes.iter().map(|outcome| outcome.held_at_the_end).sum(),
-        held_for_good: outcomes.iter().map(|outcome| outcome.held_for_good).sum(),
+        held_permanently: outcomes.iter().map(|outcome| outcome.held_permanently).sum(),
         longest_refused_ms: outcomes.iter().map(|outcome| outcome.longest_refused_ms).max().unwrap_or(0),
     };
     println!(
@@ -354,7 +360,7 @@
         totals.most_refused_innocents,
         totals.longest_refused_ms,
         totals.held_at_the_end as f64 / SEEDS as f64,
-        totals.held_for_good,
+        totals.held_permanently,
     );
     totals
 }
@@ -392,48 +398,52 @@
 }
 
 #[test]
-fn culprits_are_stopped_in_time_whatever_else_ends_engines() {
+fn culprits_are_held_in_time_despite_other_terminations() {
     for (name, scenario) in [
         ("one culprit", one_culprit()),
         ("three culprits", three_culprits()),
         ("three culprits among crashes", culprits_among_crashes()),
     ] {
         let totals = run_scenario(name, || Strategy::Registry, &scenario);
-        assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{name}: {} reached engines late", totals.most_late);
-        assert_eq!(totals.held_for_good, 0, "{name}: innocents are held for good");
+        assert!(
+            totals.most_late <= MAX_LATE_ATTEMPTS,
+            "{name}: {} attempts reached engines late",
+            totals.most_late
+        );
+        assert_eq!(totals.held_permanently, 0, "{name}: innocent requests are held permanently");
     }
 }
 
 /// Guards against many culprits of one kind hiding each other, or causing innocent requests of their
 /// kind to be held.
 #[test]
-fn a_share_of_one_kind_that_ends_engines_is_stopped_one_by_one() {
+fn culprits_of_one_kind_are_held_individually() {
     let totals = run_scenario("eight culprits of one kind", || Strategy::Registry, &culprits_of_one_kind());
-    assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{} reached engines late", totals.most_late);
-    assert_eq!(totals.held_for_good, 0, "innocents are held for good");
+    assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{} attempts reached engines late", totals.most_late);
+    assert_eq!(totals.held_permanently, 0, "innocent requests are held permanently");
 }
 
 #[test]
-fn engines_that_end_for_other_reasons_hold_nobody_for_good() {
+fn terminations_for_other_reasons_hold_no_request_permanently() {
     for (name, scenario) in [
         ("power losses", power_losses()),
         ("an engine lost each two seconds", crash_every(2_000)),
         ("an engine lost each half second, so that a third is left", crash_every(500)),
     ] {
         let totals = run_scenario(name, || Strategy::Registry, &scenario);
-        assert_eq!(totals.held_for_good, 0, "{name}: innocents are held for good");
+        assert_eq!(totals.held_permanently, 0, "{name}: innocent requests are held permanently");
     }
 }
 
 /// Compares the registry with the simpler alternative, a plain count of terminations, and prints the
 /// table of the design note.
 #[test]
-fn counting_alone_holds_innocents_for_good() {
+fn counting_alone_holds_innocent_requests_permanently() {
     let scenario = three_culprits();
     let three = run_scenario("three culprits, count of 3", || Strategy::Count(3), &scenario);
     let two = run_scenario("three culprits, count of 2", || Strategy::Count(2), &scenario);
     assert!(three.refused_innocents < two.refused_innocents);
-    assert!(three.held_for_good > 0 && two.held_for_good > 0);
+    assert!(three.held_permanently > 0 && two.held_permanently > 0);
     run_scenario("an engine lost each two seconds, count of 3", || Strategy::Count(3), &crash_every(2_000));
     run_scenario("an engine lost each two seconds, count of 2", || Strategy::Count(2), &crash_every(2_000));
 }
