--- a/crates/beamwall-rollout/src/detector.rs
+++ b/crates/beamwall-rollout/src/detector.rs
@@ -104,11 +104,11 @@
     fn update_sums(&mut self, route: &str, id: &BackendId, answers: Answers) {
         for (number, degradation) in DEGRADATIONS.iter().enumerate() {
             let against = likelihood::ratio(answers, self.old.share_now(route), *degradation);
-            let with_usual = likelihood::ratio(answers, self.old.usual_share(route), *degradation);
-            for of in [Some(route.to_owned()), None] {
-                let key = (of, number);
+            let against_overall = likelihood::ratio(answers, self.old.usual_share(route), *degradation);
+            for scope in [Some(route.to_owned()), None] {
+                let key = (scope, number);
                 if let Some(sums) = &mut self.acceptance_sums {
-                    sums.entry(key.clone()).or_default().add(id, answers, with_usual);
+                    sums.entry(key.clone()).or_default().add(id, answers, against_overall);
                 }
                 self.sums.entry(key).or_default().add(id, answers, against);
             }
@@ -125,14 +125,14 @@
     /// left out, since a slight degradation shows on few of the others.
     pub fn is_confirmed_good(&self, is_late: bool) -> bool {
         let Some(sums) = &self.acceptance_sums else { return false };
-        let (slight, plain) = (0, DEGRADATIONS.len() - 1);
-        let good = if is_late { LATE_ACCEPT_THRESHOLD } else { ACCEPT_THRESHOLD };
+        let (slight, severe) = (0, DEGRADATIONS.len() - 1);
+        let threshold = if is_late { LATE_ACCEPT_THRESHOLD } else { ACCEPT_THRESHOLD };
         let is_good = |key: (Option<String>, usize)| {
-            sums.get(&key).is_some_and(|sum| sum.acceptance_score(&self.new) <= good)
+            sums.get(&key).is_some_and(|sum| sum.acceptance_score(&self.new) <= threshold)
         };
-        let least = MIN_ROUTE_SHARE * self.old.answers(None);
-        let mut routes = self.old.routes().filter(|route| self.old.answers(Some(route)) >= least);
-        is_good((None, slight)) && routes.all(|route| is_good((Some(route.clone()), plain)))
+        let min_answers = MIN_ROUTE_SHARE * self.old.answers(None);
+        let mut routes = self.old.routes().filter(|route| self.old.answers(Some(route)) >= min_answers);
+        is_good((None, slight)) && routes.all(|route| is_good((Some(route.clone()), severe)))
     }
 
     /// Returns why the version is probably worse: the evidence is not conclusive, but over all routes a
@@ -144,8 +144,9 @@
     }
 
     fn conclusive_finding(&self) -> Option<Finding> {
-        let certain = self.sums.iter().find(|(_, sum)| sum.evidence_against(&self.new) >= REJECT_THRESHOLD);
-        certain.map(|((route, _), sum)| self.finding(route, sum))
+        let conclusive =
+            self.sums.iter().find(|(_, sum)| sum.evidence_against(&self.new) >= REJECT_THRESHOLD);
+        conclusive.map(|((route, _), sum)| self.finding(route, sum))
     }
 
     fn finding(&self, route: &Option<String>, sum: &Sum) -> Finding {
--- a/crates/beamwall-rollout/src/evidence.rs
+++ b/crates/beamwall-rollout/src/evidence.rs
@@ -101,8 +101,8 @@
 }
 
 /// Merges `others` into `own`, entry by entry, with the function `take`.
-fn merge(own: &mut CountsByBackEnd, others: &CountsByBackEnd, take: fn(&mut AnswerCounts, AnswerCounts)) {
+fn merge(own: &mut CountsByBackEnd, others: &CountsByBackEnd, combine: fn(&mut AnswerCounts, AnswerCounts)) {
     for (key, counts) in others {
-        take(own.entry(key.clone()).or_default(), *counts);
+        combine(own.entry(key.clone()).or_default(), *counts);
     }
 }
--- a/crates/beamwall-rollout/src/history.rs
+++ b/crates/beamwall-rollout/src/history.rs
@@ -19,8 +19,8 @@
 
 /// The answers of one back end on one route, or a sum of several.
 #[derive(Debug, Clone, Copy, Default)]
-struct RouteTotals {
-    whole: Answers,
+struct AnswerTotals {
+    overall: Answers,
     /// The same answers, with less weight on earlier ones.
     recent: Answers,
 }
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct History {
     previous: CountsByBackEnd,
-    counted: BTreeMap<String, BTreeMap<BackendId, RouteTotals>>,
+    totals: BTreeMap<String, BTreeMap<BackendId, AnswerTotals>>,
     outlier_probabilities: OutlierProbabilities,
     shares: BTreeMap<String, Shares>,
 }
@@ -44,11 +44,12 @@
 }
 
 impl Shares {
-    fn of(sound: RouteTotals) -> Self {
-        let recent = if sound.recent.all >= PRIOR.all { share_with_prior(sound.recent) } else { 0.0 };
+    fn of(sound_totals: AnswerTotals) -> Self {
+        let recent =
+            if sound_totals.recent.all >= PRIOR.all { share_with_prior(sound_totals.recent) } else { 0.0 };
         Self {
-            usual: clamp_share(sound.whole.share()),
-            now: clamp_share(share_with_prior(sound.whole).max(recent)),
+            usual: clamp_share(sound_totals.overall.share()),
+            now: clamp_share(share_with_prior(sound_totals.overall).max(recent)),
         }
     }
 }
@@ -56,34 +57,34 @@
 impl History {
     /// Takes the counts so far; returns the answers that were added since the last call.
     pub fn update_counts(&mut self, counts: &CountsByBackEnd) -> Vec<(String, BackendId, Answers)> {
-        let mut news = Vec::new();
+        let mut added = Vec::new();
         for ((route, id), now) in counts {
             let before = self.previous.get(&(route.clone(), id.clone())).copied().unwrap_or_default();
             let new = Answers::from(now.since(before));
-            let counted = self.counted.entry(route.clone()).or_default().entry(id.clone()).or_default();
-            counted.whole.add(new);
-            counted.recent = counted.recent.scaled(RECENT_DECAY);
-            counted.recent.add(new);
+            let totals = self.totals.entry(route.clone()).or_default().entry(id.clone()).or_default();
+            totals.overall.add(new);
+            totals.recent = totals.recent.scaled(RECENT_DECAY);
+            totals.recent.add(new);
             if new.all > 0.0 {
-                news.push((route.clone(), id.clone(), new));
+                added.push((route.clone(), id.clone(), new));
             }
         }
         self.previous = counts.clone();
         self.update_outliers();
         self.update_shares();
-        news
+        added
     }
 
     /// Updates the outlier probabilities. A faulty back end fails on all routes, so they are computed
     /// over all routes, from the whole time and from the recent answers.
     fn update_outliers(&mut self) {
-        let mut whole: BTreeMap<&BackendId, Answers> = BTreeMap::new();
+        let mut overall: BTreeMap<&BackendId, Answers> = BTreeMap::new();
         let mut recent: BTreeMap<&BackendId, Answers> = BTreeMap::new();
-        for (id, counted) in self.counted.values().flatten() {
-            whole.entry(id).or_default().add(counted.whole);
-            recent.entry(id).or_default().add(counted.recent);
+        for (id, totals) in self.totals.values().flatten() {
+            overall.entry(id).or_default().add(totals.overall);
+            recent.entry(id).or_default().add(totals.recent);
         }
-        self.outlier_probabilities = outliers::detect(&whole);
+        self.outlier_probabilities = outliers::detect(&overall);
         for (id, now) in outliers::detect(&recent) {
             let known = self.outlier_probabilities.entry(id).or_default();
             *known = known.max(now);
@@ -93,12 +94,12 @@
     /// Computes the shares of all routes once, for all back ends that are compared with them.
     fn update_shares(&mut self) {
         let shares =
-            self.counted.keys().map(|route| (route.clone(), Shares::of(self.sum_without_outliers(route))));
+            self.totals.keys().map(|route| (route.clone(), Shares::of(self.sum_without_outliers(route))));
         self.shares = shares.collect();
     }
 
     fn shares(&self, route: &str) -> Shares {
-        self.shares.get(route).copied().unwrap_or_else(|| Shares::of(RouteTotals::default()))
+        self.shares.get(route).copied().unwrap_or_else(|| Shares::of(AnswerTotals::default()))
     }
 
     /// Probability that a back end is not an outlier, 0 to 1.
@@ -113,13 +114,13 @@
 
     /// The routes with answers of this version.
     pub fn routes(&self) -> impl Iterator<Item = &String> {
-        self.counted.keys()
+        self.totals.keys()
     }
 
     /// Number of answers on a route, or on all routes if it is `None`.
     pub fn answers(&self, route: Option<&str>) -> f64 {
-        let routes = self.counted.iter().filter(|(name, _)| route.is_none_or(|route| *name == route));
-        routes.flat_map(|(_, counted)| counted.values()).map(|counted| counted.whole.all).sum()
+        let routes = self.totals.iter().filter(|(name, _)| route.is_none_or(|route| *name == route));
+        routes.flat_map(|(_, totals)| totals.values()).map(|totals| totals.overall.all).sum()
     }
 
     /// Share of bad answers on a route over the whole time. A new version must be as good as this to be
@@ -136,11 +137,11 @@
     }
 
     /// Sums the answers on a route over the back ends that are not outliers.
-    fn sum_without_outliers(&self, route: &str) -> RouteTotals {
-        let mut sum = RouteTotals::default();
-        let counted = self.counted.get(route).into_iter().flatten();
-        for (_, one) in counted.filter(|(id, _)| !self.is_outlier(id)) {
-            sum.whole.add(one.whole);
+    fn sum_without_outliers(&self, route: &str) -> AnswerTotals {
+        let mut sum = AnswerTotals::default();
+        let totals = self.totals.get(route).into_iter().flatten();
+        for (_, one) in totals.filter(|(id, _)| !self.is_outlier(id)) {
+            sum.overall.add(one.overall);
             sum.recent.add(one.recent);
         }
         sum
--- a/crates/beamwall-rollout/src/outliers.rs
+++ b/crates/beamwall-rollout/src/outliers.rs
@@ -25,21 +25,21 @@
 /// Computes for each back end the probability that it is an outlier, rather than as bad as the others of
 /// its version.
 pub fn detect(answers: &BTreeMap<&BackendId, Answers>) -> OutlierProbabilities {
-    let most = max_outliers(answers.len());
-    let usual = usual_share(answers, most);
-    let mut judged: Vec<(f64, &BackendId)> = answers
+    let limit = max_outliers(answers.len());
+    let usual = usual_share(answers, limit);
+    let mut scored: Vec<(f64, &BackendId)> = answers
         .iter()
         .map(|(id, answers)| (likelihood::ratio(*answers, usual, OUTLIER_BAD_SHARE), *id))
         .collect();
-    judged.sort_by(|left, right| right.0.total_cmp(&left.0));
-    judged.into_iter().take(most).map(|(ratio, id)| (id.clone(), probability(ratio))).collect()
+    scored.sort_by(|left, right| right.0.total_cmp(&left.0));
+    scored.into_iter().take(limit).map(|(ratio, id)| (id.clone(), probability(ratio))).collect()
 }
 
 /// Largest number of outliers among `count` back ends.
 fn max_outliers(count: usize) -> usize {
     let count = count as f64;
-    let (some, part) = MAX_OUTLIERS;
-    (MAX_OUTLIER_FRACTION * count).min(some + part * count) as usize
+    let (constant, fraction) = MAX_OUTLIERS;
+    (MAX_OUTLIER_FRACTION * count).min(constant + fraction * count) as usize
 }
 
 /// Converts a log-likelihood ratio to the probability of being an outlier.
@@ -52,7 +52,7 @@
 fn usual_share(answers: &BTreeMap<&BackendId, Answers>, left_out: usize) -> f64 {
     let mut worst_first: Vec<Answers> = answers.values().copied().collect();
     worst_first.sort_by(|left, right| right.share().total_cmp(&left.share()));
-    let mut kept = Answers::default();
-    worst_first.iter().skip(left_out).for_each(|one| kept.add(*one));
-    kept.share().clamp(MIN_BAD_SHARE, MAX_BAD_SHARE / 2.0)
+    let mut rest = Answers::default();
+    worst_first.iter().skip(left_out).for_each(|one| rest.add(*one));
+    rest.share().clamp(MIN_BAD_SHARE, MAX_BAD_SHARE / 2.0)
 }
--- a/crates/beamwall-rollout/src/registry.rs
+++ b/crates/beamwall-rollout/src/registry.rs
@@ -44,7 +44,7 @@
     /// The order.
     pub order: OrderId,
     /// Epoch of the lease and sequence number within it; the higher pair is newer.
-    pub mark: (u64, u64),
+    pub sequence: (u64, u64),
     /// The stage at the time it was sent.
     pub stage: Stage,
     /// Time since the stage was sent.
@@ -93,13 +93,13 @@
 struct KnownOrder {
     order: RolloutOrder,
     revision: u64,
-    began: Instant,
+    started_at: Instant,
     verdict: Verdict,
     /// When this node observed the success; `None` if the order had already succeeded when this node
     /// received it.
     succeeded: Option<Instant>,
     is_withdrawn: bool,
-    mark: (u64, u64),
+    sequence: (u64, u64),
     stage: Stage,
     staged_at: Instant,
     own: Evidence,
@@ -108,15 +108,15 @@
 }
 
 impl KnownOrder {
-    fn new(news: OrderUpdate, now: Instant) -> Self {
+    fn new(order_update: OrderUpdate, now: Instant) -> Self {
         Self {
-            began: now.checked_sub(news.age).unwrap_or(now),
-            order: news.order,
-            revision: news.revision,
-            verdict: news.verdict,
+            started_at: now.checked_sub(order_update.age).unwrap_or(now),
+            order: order_update.order,
+            revision: order_update.revision,
+            verdict: order_update.verdict,
             succeeded: None,
-            is_withdrawn: news.is_withdrawn,
-            mark: (0, 0),
+            is_withdrawn: order_update.is_withdrawn,
+            sequence: (0, 0),
             stage: Stage::NONE,
             staged_at: now,
             own: Evidence::default(),
@@ -126,7 +126,7 @@
     }
 
     /// Merges a verdict: the greater one in the order of [`Verdict`] replaces the other.
-    fn raise_verdict(&mut self, verdict: Verdict, now: Instant) {
+    fn advance_verdict(&mut self, verdict: Verdict, now: Instant) {
         if verdict > self.verdict {
             self.verdict = verdict;
             self.succeeded = (verdict == Verdict::Succeeded).then_some(now);
@@ -143,11 +143,11 @@
     }
 
     fn rule(&self, request: Option<&str>, now: Instant) -> Option<VersionRule> {
-        let all = Stage { share: 1.0, back_ends: usize::MAX, takes_all_in: Some(Duration::ZERO) };
+        let all_to_new = Stage { share: 1.0, back_ends: usize::MAX, takes_all_in: Some(Duration::ZERO) };
         let (stage, version_choice) = match self.verdict {
             _ if self.is_withdrawn => return None,
             Verdict::Succeeded if self.is_past_stop_time(now) => return None,
-            Verdict::Succeeded => (all, VersionChoice::New),
+            Verdict::Succeeded => (all_to_new, VersionChoice::New),
             Verdict::RolledBack => (Stage::NONE, VersionChoice::Old),
             Verdict::Running => {
                 let stage = self.stage_now(now);
@@ -175,28 +175,28 @@
     }
 
     /// Merges an order from the store or a peer; returns whether it changed anything.
-    pub fn merge_order(&self, news: OrderUpdate, now: Instant) -> bool {
+    pub fn merge_order(&self, order_update: OrderUpdate, now: Instant) -> bool {
         let mut registry = self.lock();
-        let service = news.order.id.service.clone();
+        let service = order_update.order.id.service.clone();
         let Some(known) = registry.get_mut(&service) else {
-            registry.insert(service, KnownOrder::new(news, now));
+            registry.insert(service, KnownOrder::new(order_update, now));
             return true;
         };
-        if known.order.id != news.order.id {
-            let is_newer = news.revision > known.revision;
+        if known.order.id != order_update.order.id {
+            let is_newer = order_update.revision > known.revision;
             if is_newer {
-                *known = KnownOrder::new(news, now);
+                *known = KnownOrder::new(order_update, now);
             }
             return is_newer;
         }
         let before = (known.verdict, known.is_withdrawn, known.order.interval);
         // The node that saw the order first has the best estimate of when it was placed.
-        known.began = known.began.min(now.checked_sub(news.age).unwrap_or(now));
-        known.raise_verdict(news.verdict, now);
-        if news.revision >= known.revision {
-            known.revision = news.revision;
-            known.order.interval = news.order.interval;
-            known.is_withdrawn = news.is_withdrawn;
+        known.started_at = known.started_at.min(now.checked_sub(order_update.age).unwrap_or(now));
+        known.advance_verdict(order_update.verdict, now);
+        if order_update.revision >= known.revision {
+            known.revision = order_update.revision;
+            known.order.interval = order_update.order.interval;
+            known.is_withdrawn = order_update.is_withdrawn;
         }
         before != (known.verdict, known.is_withdrawn, known.order.interval)
     }
@@ -215,15 +215,15 @@
     }
 
     /// Merges a stage that the lease holder decided or that a peer forwarded.
-    pub fn merge_stage(&self, news: &StageUpdate, now: Instant) -> bool {
+    pub fn merge_stage(&self, stage_update: &StageUpdate, now: Instant) -> bool {
         let mut registry = self.lock();
-        let Some(known) = registry.get_mut(&news.order.service) else { return false };
-        if known.order.id != news.order || news.mark <= known.mark {
+        let Some(known) = registry.get_mut(&stage_update.order.service) else { return false };
+        if known.order.id != stage_update.order || stage_update.sequence <= known.sequence {
             return false;
         }
-        known.mark = news.mark;
-        known.stage = news.stage;
-        known.staged_at = now.checked_sub(news.age).unwrap_or(now);
+        known.sequence = stage_update.sequence;
+        known.stage = stage_update.stage;
+        known.staged_at = now.checked_sub(stage_update.age).unwrap_or(now);
         true
     }
 
@@ -232,35 +232,35 @@
         let mut registry = self.lock();
         let known = registry.get_mut(&order.service).filter(|known| known.order.id == *order);
         let Some(known) = known.filter(|known| known.verdict < verdict) else { return false };
-        known.raise_verdict(verdict, now);
+        known.advance_verdict(verdict, now);
         true
     }
 
     /// Returns all orders, to send to peers.
     pub fn orders(&self, now: Instant) -> Vec<OrderUpdate> {
-        let news = |known: &KnownOrder| OrderUpdate {
+        let to_update = |known: &KnownOrder| OrderUpdate {
             order: known.order.clone(),
             revision: known.revision,
-            age: now.saturating_duration_since(known.began),
+            age: now.saturating_duration_since(known.started_at),
             verdict: known.verdict,
             is_withdrawn: known.is_withdrawn,
         };
-        self.lock().values().map(news).collect()
+        self.lock().values().map(to_update).collect()
     }
 
     /// Returns the stages that have not expired, to send to peers.
     pub fn stages(&self, now: Instant) -> Vec<StageUpdate> {
         let registry = self.lock();
-        let holds = |known: &&KnownOrder| {
+        let is_valid = |known: &&KnownOrder| {
             known.verdict == Verdict::Running && now.saturating_duration_since(known.staged_at) <= STAGE_TTL
         };
-        let news = |known: &KnownOrder| StageUpdate {
+        let to_update = |known: &KnownOrder| StageUpdate {
             order: known.order.id.clone(),
-            mark: known.mark,
+            sequence: known.sequence,
             stage: known.stage,
             age: now.saturating_duration_since(known.staged_at),
         };
-        registry.values().filter(holds).filter(|known| known.mark > (0, 0)).map(news).collect()
+        registry.values().filter(is_valid).filter(|known| known.sequence > (0, 0)).map(to_update).collect()
     }
 
     /// Returns the rule for a request; `None` if it may go to any back end.
--- a/crates/beamwall-rollout/src/rollout.rs
+++ b/crates/beamwall-rollout/src/rollout.rs
@@ -48,10 +48,10 @@
 pub struct Rollout {
     order: RolloutOrder,
     bounds: Bounds,
-    began: Instant,
+    started_at: Instant,
     detector: Detector,
     per_second: Option<f64>,
-    last: Option<(Instant, u64)>,
+    last_count: Option<(Instant, u64)>,
     /// When the number of bad answers of the new version reached the limit.
     bad_answer_limit_reached: Option<Instant>,
     stage: Stage,
@@ -61,14 +61,14 @@
 
 impl Rollout {
     /// Starts the rollout of an order that was placed at `began`.
-    pub fn new(order: RolloutOrder, bounds: Bounds, began: Instant) -> Self {
+    pub fn new(order: RolloutOrder, bounds: Bounds, started_at: Instant) -> Self {
         Self {
             order,
             bounds,
-            began,
+            started_at,
             detector: Detector::default(),
             per_second: None,
-            last: None,
+            last_count: None,
             bad_answer_limit_reached: None,
             stage: Stage::NONE,
             verdict: Verdict::Running,
@@ -97,8 +97,8 @@
     }
 
     /// Time until the order's end.
-    pub fn left(&self, now: Instant) -> Duration {
-        (self.began + self.order.interval).saturating_duration_since(now)
+    pub fn time_left(&self, now: Instant) -> Duration {
+        (self.started_at + self.order.interval).saturating_duration_since(now)
     }
 
     /// Applies a verdict that another node reached.
@@ -116,15 +116,15 @@
         }
         self.finding =
             self.detector.evaluate(evidence).or_else(|| self.probable_finding_near_deadline(evidence, now));
-        self.note_rate(evidence, now);
-        let left = self.left(now);
-        let is_over = left.is_zero();
+        self.update_rate(evidence, now);
+        let time_left = self.time_left(now);
+        let is_past_end = time_left.is_zero();
         // A version without back ends cannot receive the traffic by the order's end.
-        if self.finding.is_some() || is_over && !self.stage.takes_all() && capacity.new == 0 {
+        if self.finding.is_some() || is_past_end && !self.stage.takes_all() && capacity.new == 0 {
             self.apply_verdict(Verdict::RolledBack);
             return self.verdict;
         }
-        self.stage = self.next_stage(evidence, capacity, left);
+        self.stage = self.next_stage(evidence, capacity, time_left);
         if self.stage.takes_all() {
             self.detector.start_acceptance();
         }
@@ -144,8 +144,8 @@
         self.detector.probable_finding().filter(|_| is_time)
     }
 
-    fn note_rate(&mut self, evidence: &Evidence, now: Instant) {
-        if let Some((at, requests)) = self.last {
+    fn update_rate(&mut self, evidence: &Evidence, now: Instant) {
+        if let Some((at, requests)) = self.last_count {
             let length = now.duration_since(at).as_secs_f64();
             if length <= 0.0 {
                 return;
@@ -154,10 +154,10 @@
             let before = self.per_second.unwrap_or(newest);
             self.per_second = Some(before + (newest - before) * RATE_SMOOTHING);
         }
-        self.last = Some((now, evidence.requests));
+        self.last_count = Some((now, evidence.requests));
     }
 
-    fn next_stage(&self, evidence: &Evidence, capacity: VersionCapacity, left: Duration) -> Stage {
+    fn next_stage(&self, evidence: &Evidence, capacity: VersionCapacity, time_left: Duration) -> Stage {
         if capacity.old == 0 {
             return Stage { share: 1.0, back_ends: capacity.new, takes_all_in: Some(Duration::ZERO) };
         }
@@ -169,17 +169,17 @@
             requests: evidence.requests as f64,
             exposed: evidence.exposed as f64,
             per_second,
-            left,
+            time_left,
         };
         let share = schedule::share(&traffic, &self.bounds);
-        let as_full = (share * capacity.old as f64).round() as usize;
-        let is_enough = capacity.new as f64 >= MIN_CAPACITY_RATIO * capacity.old as f64;
-        let has_shown = evidence.new_answers() >= MIN_ANSWERS || left.is_zero();
+        let proportional = (share * capacity.old as f64).round() as usize;
+        let has_enough_capacity = capacity.new as f64 >= MIN_CAPACITY_RATIO * capacity.old as f64;
+        let has_enough_answers = evidence.new_answers() >= MIN_ANSWERS || time_left.is_zero();
         let takes_all_in = schedule::takes_all_in(&traffic, &self.bounds);
         Stage {
             share,
-            back_ends: as_full.max(MIN_ACTIVE_BACK_ENDS).min(capacity.new),
-            takes_all_in: (is_enough && has_shown).then_some(takes_all_in),
+            back_ends: proportional.max(MIN_ACTIVE_BACK_ENDS).min(capacity.new),
+            takes_all_in: (has_enough_capacity && has_enough_answers).then_some(takes_all_in),
         }
     }
 
@@ -190,11 +190,11 @@
         if capacity.old == 0 {
             return capacity.new > 0;
         }
-        let is_late = now.saturating_duration_since(self.began) >= self.order.interval + DRAIN_TIMEOUT;
-        let is_empty = capacity.running_at_old == 0 || is_late;
+        let is_late = now.saturating_duration_since(self.started_at) >= self.order.interval + DRAIN_TIMEOUT;
+        let is_drained = capacity.running_at_old == 0 || is_late;
         self.stage.takes_all()
             && capacity.new > 0
-            && is_empty
-            && self.detector.is_confirmed_good(now > self.began + self.order.interval)
+            && is_drained
+            && self.detector.is_confirmed_good(now > self.started_at + self.order.interval)
     }
 }
--- a/crates/beamwall-rollout/src/schedule.rs
+++ b/crates/beamwall-rollout/src/schedule.rs
@@ -28,12 +28,12 @@
     /// Current request rate per second.
     pub per_second: f64,
     /// Time until the order's end.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 impl Traffic {
     fn expected_requests(&self) -> f64 {
-        self.per_second * self.left.as_secs_f64()
+        self.per_second * self.time_left.as_secs_f64()
     }
 
     /// Requests that the new version may receive until the order's end.
@@ -44,16 +44,16 @@
 
 /// The small share, chosen so that the remaining allowance lasts until the order's end.
 pub fn share(traffic: &Traffic, bounds: &Bounds) -> f64 {
-    let left = CANARY_FRACTION * traffic.allowed(bounds) - traffic.exposed;
-    (left / traffic.expected_requests().max(1.0)).clamp(0.0, MAX_CANARY_SHARE)
+    let remaining = CANARY_FRACTION * traffic.allowed(bounds) - traffic.exposed;
+    (remaining / traffic.expected_requests().max(1.0)).clamp(0.0, MAX_CANARY_SHARE)
 }
 
 /// Time from now until the new version may receive all requests: from then on the remaining requests fit
 /// in the remaining allowance.
 pub fn takes_all_in(traffic: &Traffic, bounds: &Bounds) -> Duration {
     let share = share(traffic, bounds);
-    let left = traffic.left.as_secs_f64();
-    let spare = traffic.allowed(bounds) - traffic.exposed - share * traffic.expected_requests();
-    let all_for = spare.max(0.0) / (traffic.per_second * (1.0 - share)).max(1e-9);
-    Duration::from_secs_f64((left - all_for).max(0.0))
+    let time_left_s = traffic.time_left.as_secs_f64();
+    let remaining_allowance = traffic.allowed(bounds) - traffic.exposed - share * traffic.expected_requests();
+    let full_traffic_s = remaining_allowance.max(0.0) / (traffic.per_second * (1.0 - share)).max(1e-9);
+    Duration::from_secs_f64((time_left_s - full_traffic_s).max(0.0))
 }
--- a/crates/beamwall-rollout/src/traffic.rs
+++ b/crates/beamwall-rollout/src/traffic.rs
@@ -19,8 +19,8 @@
     }
     let Some(request) = request else { return false };
     // Maps the hash to a number in [0, 1).
-    let place = xxh3_64_with_seed(request.as_bytes(), order.seed()) as f64 / (u64::MAX as f64 + 1.0);
-    place < share
+    let position = xxh3_64_with_seed(request.as_bytes(), order.seed()) as f64 / (u64::MAX as f64 + 1.0);
+    position < share
 }
 
 /// Returns the back ends of the new version that receive requests in a stage.
--- a/crates/beamwall-rollout/tests/book.rs
+++ b/crates/beamwall-rollout/tests/registry.rs
@@ -27,7 +27,7 @@
 fn stage(number: u64, share: f64, takes_all_in_ms: Option<u64>) -> StageUpdate {
     let takes_all_in = takes_all_in_ms.map(Duration::from_millis);
     let stage = Stage { share, back_ends: 5, takes_all_in };
-    StageUpdate { order: id("v2"), mark: (1, number), stage, age: Duration::ZERO }
+    StageUpdate { order: id("v2"), sequence: (1, number), stage, age: Duration::ZERO }
 }
 
 fn version_choice(registry: &RolloutRegistry, now: Instant) -> Option<VersionChoice> {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_new_version_before_a_stage_says_so_and_after_its_term() {
+fn no_requests_go_to_a_new_version_before_a_stage_and_after_its_ttl() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     assert_eq!(version_choice(&registry, now), None);
     registry.merge_order(order("v2", 10, Verdict::Running), now);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_new_version_takes_all_from_the_moment_told() {
+fn the_new_version_receives_all_requests_from_the_given_time() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::Running), now);
     registry.merge_stage(&stage(2, 0.0, Some(800)), now);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn another_order_begins_anew_and_an_older_one_does_not_come_back() {
+fn a_newer_order_replaces_an_older_one() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::RolledBack), now);
     assert!(registry.merge_order(order("v3", 20, Verdict::Running), now));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_order_that_is_taken_back_binds_nobody() {
+fn a_withdrawn_order_applies_no_rule() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::Running), now);
     assert!(!registry.withdraw_unlisted(&["pool".into()], 30));
@@ -123,7 +123,7 @@
 /// one sum without a back end id. Both used to be added up, so 100 answers became 200, whichever relay
 /// reported first.
 #[test]
-fn answers_of_a_zone_count_once_whichever_build_its_relays_are_of() {
+fn answers_of_a_zone_are_counted_once_while_its_relays_run_different_builds() {
     let sums = old_answers(&[("", 100, 8)]);
     let by_back_end = old_answers(&[("e1", 60, 7), ("e2", 40, 1)]);
     for reported in [[&sums, &by_back_end], [&by_back_end, &sums]] {
@@ -139,7 +139,7 @@
 /// With nodes of both builds in a zone, the relay that reports by back end also reports the sum of the
 /// earlier build's nodes, which must be kept.
 #[test]
-fn a_zone_of_both_builds_keeps_the_sum_of_the_earlier_ones() {
+fn a_zone_with_both_builds_keeps_the_sum_of_the_earlier_build() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::Running), now);
     registry.merge_zone_evidence(&"b".into(), &old_answers(&[("", 30, 2), ("e1", 70, 6)]));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_order_that_has_succeeded_binds_only_while_the_old_back_ends_are_stopped() {
+fn a_succeeded_order_applies_only_while_the_old_back_ends_are_stopped() {
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::Running), now);
     registry.merge_order(order("v2", 11, Verdict::Succeeded), now);
--- a/crates/beamwall-rollout/tests/simulation.rs
+++ b/crates/beamwall-rollout/tests/simulation.rs
@@ -65,13 +65,13 @@
     let mut summary = Summary::default();
     for seed in 0..runs {
         let outcome = simulate(fleet, defect, disruption, seed);
-        let what = format!("{fleet:?} {defect:?} {disruption:?} seed {seed}: {outcome:?}");
+        let context = format!("{fleet:?} {defect:?} {disruption:?} seed {seed}: {outcome:?}");
         if defect.is_bad() {
-            assert!(outcome.exposed_part <= 1.0, "exposure: {what}");
+            assert!(outcome.exposed_part <= 1.0, "exposure: {context}");
             // The old back ends are stopped on success, so the version can no longer be rolled back.
-            assert!(!outcome.succeeded, "succeeded: {what}");
+            assert!(!outcome.succeeded, "succeeded: {context}");
             if outcome.used_after_rollback {
-                println!("used too long: {what}");
+                println!("used too long: {context}");
                 summary.used_too_long += 1;
             }
         }
@@ -93,42 +93,43 @@
 }
 
 #[test]
-fn bad_versions_never_get_more_than_the_bounds_allow() {
+fn bad_versions_never_exceed_the_exposure_bounds() {
     in_all_fleets(|fleet, disruption| {
-        let mut whole = Summary::default();
+        let mut total = Summary::default();
         for defect in defects() {
             let summary = run(fleet, defect, disruption, runs(RUNS_OF_BAD));
-            whole.runs += summary.runs;
-            whole.rolled_back += summary.rolled_back;
-            whole.most_exposed = whole.most_exposed.max(summary.most_exposed);
-            whole.used_too_long += summary.used_too_long;
+            total.runs += summary.runs;
+            total.rolled_back += summary.rolled_back;
+            total.most_exposed = total.most_exposed.max(summary.most_exposed);
+            total.used_too_long += summary.used_too_long;
             assert_eq!(summary.used_too_long, 0, "{fleet:?} {defect:?} {disruption:?}");
         }
         println!(
             "{} gateways, {disruption:?}: {:.0} in 100 of {} bad versions rolled back, exposed up to {:.2} of what is allowed, {} used too long",
             fleet.gateways,
-            100.0 * whole.share(whole.rolled_back),
-            whole.runs,
-            whole.most_exposed,
-            whole.used_too_long,
+            100.0 * total.share(total.rolled_back),
+            total.runs,
+            total.most_exposed,
+            total.used_too_long,
         );
     });
 }
 
 #[test]
-fn good_versions_take_the_traffic_in_time_and_are_seldom_rolled_back() {
+fn good_versions_receive_all_traffic_in_time_and_are_rarely_rolled_back() {
     in_all_fleets(|fleet, disruption| {
         let summary = run(fleet, Defect::NONE, disruption, runs(RUNS));
-        let (in_time, back) = (summary.share(summary.succeeded_in_time), summary.share(summary.rolled_back));
+        let (in_time, rolled_back_share) =
+            (summary.share(summary.succeeded_in_time), summary.share(summary.rolled_back));
         println!(
             "{} gateways, {disruption:?}: {:.0} in 100 of {} good versions done in time, {:.0} later, {:.1} rolled back",
             fleet.gateways,
             100.0 * in_time,
             summary.runs,
             100.0 * (summary.share(summary.succeeded) - in_time),
-            100.0 * back,
+            100.0 * rolled_back_share,
         );
-        assert!(back < 0.02, "{fleet:?} {disruption:?}: {back} rolled back");
+        assert!(rolled_back_share < 0.02, "{fleet:?} {disruption:?}: {rolled_back_share} rolled back");
     });
 }
 
@@ -139,7 +140,7 @@
 /// answers and 7 had 40, so the old version's share was 6 in 100 instead of 2, and the new version's 7
 /// in 100 looked usual.
 #[test]
-fn a_slightly_bad_version_is_rolled_back_in_time_while_back_ends_are_in_trouble() {
+fn a_slightly_bad_version_is_rolled_back_in_time_despite_failing_back_ends() {
     for disruption in [Disruption::Crashes, Disruption::Grey] {
         let defect = Defect { share: SLIGHT_DEFECT_SHARE, ..Defect::NONE };
         let summary = run(Fleet::MIDDLE, defect, disruption, 3);
@@ -151,7 +152,7 @@
 /// (docs/CAPACITY.md). In the smallest fleet there are too few answers to be sure that every rollout
 /// completes.
 #[test]
-fn good_versions_are_done_in_the_end_where_answers_are_many() {
+fn rollouts_of_good_versions_complete_in_fleets_with_many_answers() {
     in_all_fleets(|fleet, disruption| {
         if fleet.gateways < Fleet::MIDDLE.gateways {
             return;
--- a/crates/beamwall-rollout/tests/support/mod.rs
+++ b/crates/beamwall-rollout/tests/support/mod.rs
@@ -224,8 +224,8 @@
         outcome.exposed_part = exposed / BOUNDS.exposure(self.requests as f64);
         let mut bad = self.bad_answers.clone();
         bad.sort_unstable();
-        if let Some(many) = bad.get(BAD_ANSWER_LIMIT as usize - 1) {
-            let limit = many + BOUNDS.rollback.as_millis() as u64;
+        if let Some(limit_reached_ms) = bad.get(BAD_ANSWER_LIMIT as usize - 1) {
+            let limit = limit_reached_ms + BOUNDS.rollback.as_millis() as u64;
             outcome.used_after_rollback = self.sent_to_new.iter().any(|at| *at > limit);
         }
         outcome
@@ -321,12 +321,12 @@
     }
 
     fn draw_route(&mut self) -> usize {
-        let mut place = self.random.random::<f64>();
+        let mut position = self.random.random::<f64>();
         for (route, (share, _)) in ROUTES.iter().enumerate() {
-            if place < *share {
+            if position < *share {
                 return route;
             }
-            place -= share;
+            position -= share;
         }
         0
     }
