--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -78,13 +78,13 @@
                 target: id.target.to_string(),
                 new: supply.new.to_string(),
                 old: supply.old.to_string(),
-                left_ms: rollout.left(now).as_millis().to_string(),
+                left_ms: rollout.time_left(now).as_millis().to_string(),
             });
         }
         if !was_final {
             tenure.tellings += 1;
-            let mark = (epoch, tenure.tellings);
-            book.merge_stage(&StageUpdate { order: id.clone(), mark, stage, age: Duration::ZERO }, now);
+            let sequence = (epoch, tenure.tellings);
+            book.merge_stage(&StageUpdate { order: id.clone(), sequence, stage, age: Duration::ZERO }, now);
             self.news.notify_one();
         }
     }
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -67,8 +67,8 @@
 fn encode_stage(news: &StageUpdate) -> ToldStage {
     ToldStage {
         id: encode_id(&news.order),
-        epoch: news.mark.0,
-        number: news.mark.1,
+        epoch: news.sequence.0,
+        number: news.sequence.1,
         share: news.stage.share,
         back_ends: news.stage.back_ends as u64,
         takes_all_in_ms: news.stage.takes_all_in.map(to_ms),
@@ -135,7 +135,7 @@
     let decode = |told: &ToldStage| {
         Some(StageUpdate {
             order: decode_id(told.id.as_ref())?,
-            mark: (told.epoch, told.number),
+            sequence: (told.epoch, told.number),
             stage: Stage {
                 share: told.share.clamp(0.0, 1.0),
                 back_ends: usize::try_from(told.back_ends).unwrap_or(usize::MAX),
