--- a/crates/beamwall-quarantine/src/hold_decision.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -8,7 +8,7 @@
 //!   them earlier, or was open at more of them and reached three no later; it does not count against the
 //!   other requests;
 //! - a request that shares all its terminations with another held request is held in doubt and retried
-//!   soon. All held requests are in doubt while no held request explains most of the terminations, for
+//!   soon. All held requests are in doubt while most terminations are explained by no held request, for
 //!   example when machines are reclaimed one after another.
 //!
 //! A held request is not exposed to further terminations, while an innocent request that is resent is
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns the requests to hold. `ended` lists further terminations, at which no known request was open.
+/// Returns the requests to hold. `unattributed` lists further terminations, at which no known request was open.
 pub fn held_requests(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     unattributed: &BTreeMap<BackendId, u64>,
@@ -122,10 +122,10 @@
         return false;
     }
     let under_suspects = suspects.values().flat_map(|suspect| suspect.endings.keys());
-    let unattributed: HashSet<&BackendId> = under_suspects.chain(unattributed.keys()).collect();
+    let all_terminated: HashSet<&BackendId> = under_suspects.chain(unattributed.keys()).collect();
     let is_explained = |backend: &&&BackendId| confirmed.iter().any(|one| one.endings.contains(**backend));
-    let explained = unattributed.iter().filter(is_explained).count();
-    unattributed.len() - explained > explained
+    let explained = all_terminated.iter().filter(is_explained).count();
+    all_terminated.len() - explained > explained
 }
 
 /// Returns the earliest observed time of each termination. Nodes observe the same termination some
--- a/crates/beamwall-quarantine/tests/simulation.rs
+++ b/crates/beamwall-quarantine/tests/simulation.rs
@@ -59,10 +59,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { request: usize, attempt: u32 },
-    Ends { engine: usize, incarnation: u32, request: Option<usize> },
+    Terminates { engine: usize, incarnation: u32, request: Option<usize> },
     Completes { engine: usize, incarnation: u32, request: usize },
     Restarted { engine: usize },
-    Propagated { ending: usize },
+    Propagated { termination: usize },
     PowerLoss { third: usize },
     Crash,
 }
@@ -77,9 +77,9 @@
 #[derive(Default)]
 struct Outcome {
     /// Engines terminated by culprits.
-    ended_by_culprits: usize,
+    terminated_by_culprits: usize,
     /// For each culprit, the attempts that reached engines after the detection deadline.
-    late: Vec<usize>,
+    late_attempts: Vec<usize>,
     /// Innocent requests that were refused at least once.
     refused_innocents: usize,
     /// Innocent requests that are held when the simulation ends.
@@ -98,8 +98,8 @@
     engines: Vec<Engine>,
     fingerprints: Vec<Fingerprint>,
     culprits: Vec<(u64, u64)>,
-    culprit_ends: HashMap<usize, Vec<u64>>,
-    endings: Vec<(BackendId, Vec<Fingerprint>, u64)>,
+    culprit_terminations: HashMap<usize, Vec<u64>>,
+    terminations: Vec<(BackendId, Vec<Fingerprint>, u64)>,
     registry: QuarantineRegistry,
     counts: HashMap<Fingerprint, usize>,
     /// Innocent requests that were refused, with the time of the first refusal; `None` once they were
@@ -118,12 +118,12 @@
             events: BinaryHeap::new(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             fingerprints: Vec::new(),
-            culprit_ends: HashMap::new(),
-            endings: Vec::new(),
+            culprit_terminations: HashMap::new(),
+            terminations: Vec::new(),
             registry: QuarantineRegistry::default(),
             counts: HashMap::new(),
             refused: HashMap::new(),
-            outcome: Outcome { late: vec![0; culprits.len()], ..Outcome::default() },
+            outcome: Outcome { late_attempts: vec![0; culprits.len()], ..Outcome::default() },
             culprits,
         };
         simulation.schedule_events(scenario);
@@ -175,12 +175,12 @@
     fn handle(&mut self, event: Event, scenario: &Scenario) {
         match event {
             Event::Arrives { request, attempt } => self.arrive(request, attempt),
-            Event::Ends { engine, incarnation, request }
+            Event::Terminates { engine, incarnation, request }
                 if self.engines[engine].incarnation == incarnation =>
             {
                 if let Some(request) = request {
-                    self.culprit_ends.entry(request).or_default().push(self.now_ms);
-                    self.outcome.ended_by_culprits += 1;
+                    self.culprit_terminations.entry(request).or_default().push(self.now_ms);
+                    self.outcome.terminated_by_culprits += 1;
                 }
                 self.terminate_engine(engine);
             }
@@ -191,10 +191,10 @@
                 self.registry.note_completion(&self.fingerprints[request], START_MS + self.now_ms);
                 self.counts.remove(&self.fingerprints[request]);
             }
-            Event::Ends { .. } | Event::Completes { .. } => {}
+            Event::Terminates { .. } | Event::Completes { .. } => {}
             Event::Restarted { engine } => self.engines[engine].is_down = false,
-            Event::Propagated { ending } => {
-                let (backend, open, at_ms) = self.endings[ending].clone();
+            Event::Propagated { termination } => {
+                let (backend, open, at_ms) = self.terminations[termination].clone();
                 open.iter().for_each(|request| *self.counts.entry(*request).or_default() += 1);
                 self.registry.note_termination(&backend, open, at_ms);
             }
@@ -246,11 +246,11 @@
         let incarnation = self.engines[engine].incarnation;
         self.engines[engine].open.push((request, attempt));
         if self.is_culprit(request) {
-            let third = self.culprit_ends.get(&request).and_then(|ends| ends.get(2)).copied();
+            let third = self.culprit_terminations.get(&request).and_then(|ends| ends.get(2)).copied();
             if third.is_some_and(|third| self.now_ms > third + DETECTION_DEADLINE_MS) {
-                self.outcome.late[request] += 1;
+                self.outcome.late_attempts[request] += 1;
             }
-            let ends = Event::Ends { engine, incarnation, request: Some(request) };
+            let ends = Event::Terminates { engine, incarnation, request: Some(request) };
             self.add(self.now_ms + CULPRIT_RUN_TIME_MS, ends);
         } else {
             let takes_ms = self.random.random_range(200..2_500);
@@ -281,8 +281,11 @@
         self.add(self.now_ms + RESTART_MS, Event::Restarted { engine });
         let open = std::mem::take(&mut self.engines[engine].open);
         let fingerprints = open.iter().map(|(request, _)| self.fingerprints[*request]).collect();
-        self.endings.push((backend, fingerprints, START_MS + self.now_ms));
-        self.add(self.now_ms + PROPAGATION_MS, Event::Propagated { ending: self.endings.len() - 1 });
+        self.terminations.push((backend, fingerprints, START_MS + self.now_ms));
+        self.add(
+            self.now_ms + PROPAGATION_MS,
+            Event::Propagated { termination: self.terminations.len() - 1 },
+        );
         for (request, attempt) in open {
             if attempt < MAX_ATTEMPTS && self.random.random_bool(RETRY_PROBABILITY) {
                 let retry = Event::Arrives { request, attempt: attempt + 1 };
@@ -330,10 +333,10 @@
 
 /// Sums and maxima over all seeds.
 struct Totals {
-    ended_by_culprits: usize,
-    most_late: usize,
+    terminated_by_culprits: usize,
+    max_late_attempts: usize,
     refused_innocents: usize,
-    most_refused_innocents: usize,
+    max_refused_innocents: usize,
     held_at_the_end: usize,
     held_permanently: usize,
     longest_refused_ms: u64,
@@ -343,10 +346,14 @@
     let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| Simulation::run(strategy(), scenario, seed)).collect();
     let refused = outcomes.iter().map(|outcome| outcome.refused_innocents);
     let totals = Totals {
-        ended_by_culprits: outcomes.iter().map(|outcome| outcome.ended_by_culprits).sum(),
-        most_late: outcomes.iter().flat_map(|outcome| outcome.late.iter().copied()).max().unwrap_or(0),
+        terminated_by_culprits: outcomes.iter().map(|outcome| outcome.terminated_by_culprits).sum(),
+        max_late_attempts: outcomes
+            .iter()
+            .flat_map(|outcome| outcome.late_attempts.iter().copied())
+            .max()
+            .unwrap_or(0),
         refused_innocents: refused.clone().sum(),
-        most_refused_innocents: refused.max().unwrap_or(0),
+        max_refused_innocents: refused.max().unwrap_or(0),
         held_at_the_end: outcomes.iter().map(|outcome| outcome.held_at_the_end).sum(),
         held_permanently: outcomes.iter().map(|outcome| outcome.held_permanently).sum(),
         longest_refused_ms: outcomes.iter().map(|outcome| outcome.longest_refused_ms).max().unwrap_or(0),
@@ -354,10 +361,10 @@
     println!(
         "{name}: {:.2} engines ended a culprit; late {}; innocents refused {:.3} a day, at most {}, for {} ms at most; \
          held at the end {:.3} a day, for good {}",
-        totals.ended_by_culprits as f64 / (SEEDS as usize * scenario.culprits.len().max(1)) as f64,
-        totals.most_late,
+        totals.terminated_by_culprits as f64 / (SEEDS as usize * scenario.culprits.len().max(1)) as f64,
+        totals.max_late_attempts,
         totals.refused_innocents as f64 / SEEDS as f64,
-        totals.most_refused_innocents,
+        totals.max_refused_innocents,
         totals.longest_refused_ms,
         totals.held_at_the_end as f64 / SEEDS as f64,
         totals.held_permanently,
@@ -406,9 +413,9 @@
     ] {
         let totals = run_scenario(name, || Strategy::Registry, &scenario);
         assert!(
-            totals.most_late <= MAX_LATE_ATTEMPTS,
+            totals.max_late_attempts <= MAX_LATE_ATTEMPTS,
             "{name}: {} attempts reached engines late",
-            totals.most_late
+            totals.max_late_attempts
         );
         assert_eq!(totals.held_permanently, 0, "{name}: innocent requests are held permanently");
     }
@@ -419,7 +426,11 @@
 #[test]
 fn culprits_of_one_kind_are_held_individually() {
     let totals = run_scenario("eight culprits of one kind", || Strategy::Registry, &culprits_of_one_kind());
-    assert!(totals.most_late <= MAX_LATE_ATTEMPTS, "{} attempts reached engines late", totals.most_late);
+    assert!(
+        totals.max_late_attempts <= MAX_LATE_ATTEMPTS,
+        "{} attempts reached engines late",
+        totals.max_late_attempts
+    );
     assert_eq!(totals.held_permanently, 0, "innocent requests are held permanently");
 }
 
