--- a/crates/beamwall-rollout/src/lib.rs
+++ b/crates/beamwall-rollout/src/lib.rs
@@ -13,7 +13,7 @@
 //! - outlier back ends of either version are ignored ([`history`], [`outliers`]);
 //! - the result is a [`Verdict`], which is final ([`rollout`]).
 //!
-//! This package performs no input or output. The node that holds the lease on duties runs the
+//! This package performs no input or output. The node that holds the duties lease runs the
 //! [`Rollout`]; every node routes by the [`Stage`] that this node sends, and classifies its own answers.
 
 pub mod bounds;
