--- a/crates/beamwall-quarantine/src/limits.rs
+++ b/crates/beamwall-quarantine/src/limits.rs
@@ -12,7 +12,7 @@
 pub const TERMINATIONS_UNTIL_CLEAR: usize = 2;
 
 /// Time after the last termination for which a request that is not held stays a suspect. It only bounds
-/// memory: a request sent less than three times within this period terminates fewer back ends than the
+/// memory: a request sent fewer than three times within this period terminates fewer back ends than the
 /// reclaiming of machines does.
 pub const SUSPECT_RETENTION: Duration = Duration::from_secs(10 * 60);
 
