--- a/crates/beamwall-rollout/src/stage.rs
+++ b/crates/beamwall-rollout/src/stage.rs
@@ -17,7 +17,7 @@
 }
 
 impl Verdict {
-    /// Whether the rollout has ended with a result to report to the operator.
+    /// Whether no later verdict that must be reported to the operator can replace this one.
     pub fn is_final(self) -> bool {
         self != Self::Running
     }
--- a/crates/beamwall-rollout/tests/registry.rs
+++ b/crates/beamwall-rollout/tests/registry.rs
@@ -50,7 +50,7 @@
     let (registry, now) = (RolloutRegistry::default(), Instant::now());
     registry.merge_order(order("v2", 10, Verdict::Running), now);
     registry.merge_stage(&stage(2, 0.0, Some(800)), now);
-    assert!(!registry.merge_stage(&stage(1, 1.0, Some(0)), now), "older than what is known");
+    assert!(!registry.merge_stage(&stage(1, 1.0, Some(0)), now), "older than the known stage");
     assert_eq!(version_choice(&registry, now + Duration::from_millis(700)), Some(VersionChoice::Old));
     assert_eq!(version_choice(&registry, now + Duration::from_millis(900)), Some(VersionChoice::New));
 }
@@ -105,7 +105,7 @@
     }
     let all = registry.evidence(&id("v2"));
     assert_eq!((all.requests, all.exposed, all.new_answers(), all.new_bad_answers()), (4, 4, 4, 4));
-    assert_eq!(registry.evidence_of_nodes()[0].1.requests, 3, "other zones' sums are not reported on");
+    assert_eq!(registry.evidence_of_nodes()[0].1.requests, 3, "sums of other zones are not forwarded");
 }
 
 /// Answers of the old version, given as rows of back end, answers and bad answers. Later versions may
