--- a/crates/beamwall-quarantine/src/hold_decision.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// Returns the requests to hold. `unattributed` lists further terminations, at which no known request was open.
+/// Returns the requests to hold. `unattributed` lists further terminations, at which no known request
+/// was open.
 pub fn held_requests(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     unattributed: &BTreeMap<BackendId, u64>,
--- a/crates/beamwall-rollout/src/rollout.rs
+++ b/crates/beamwall-rollout/src/rollout.rs
@@ -185,7 +185,7 @@
 
     /// Whether the new version receives all requests, its answers since then show that it is good, and
     /// no requests run at the old version. The old back ends are stopped after that, so a version that
-    /// is not known to be good yet completes late rather than being accepted.
+    /// is not yet known to be good completes late rather than being accepted.
     fn is_complete(&self, capacity: VersionCapacity, now: Instant) -> bool {
         if capacity.old == 0 {
             return capacity.new > 0;
