--- a/crates/beamwall-gateway/benches/admission.rs
+++ b/crates/beamwall-gateway/benches/admission.rs
@@ -20,7 +20,7 @@
 
 #[async_trait]
 impl TrialPort for NoTrials {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -33,7 +33,7 @@
 fn unsuspected(bencher: Bencher<'_, '_>, peers: usize) {
     let clock: Arc<FleetClock> = Arc::default();
     for peer in 0..peers {
-        clock.hear(&format!("n{peer}").as_str().into(), SystemTime::now(), beamwall_clock::now());
+        clock.record_peer_time(&format!("n{peer}").as_str().into(), SystemTime::now(), beamwall_clock::now());
     }
     let pool = Pool::new(Duration::from_secs(1));
     let listed = Arc::<ArcSwap<Directory>>::default();
--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::EngineGroup;
 use beamwall_gateway::{Directory, Prompt, PromptPart};
@@ -38,7 +38,7 @@
     directory.groups(&service()).expect("engines").in_order(prompt, 1)[0]
 }
 
-fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
+fn place(knowledge: &BackendState, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
     let service = service();
     let zone = "a".into();
     let by = ChosenBy::Placer;
@@ -69,7 +69,7 @@
 #[divan::bench(args = ENGINES)]
 fn place_in_group(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
-    let knowledge = Knowledge::default();
+    let knowledge = BackendState::default();
     support::teach(&knowledge.models, support::observed());
     let prompt = prompt();
     let group = first_group(&directory, &prompt);
--- a/crates/beamwall-gateway/src/admission.rs
+++ b/crates/beamwall-gateway/src/admission.rs
@@ -9,9 +9,9 @@
 
 /// Standard errors by which the expected time must be beyond the caller's patience: a request is refused only where
 /// the model is sure.
-const SURE_ERRORS: f64 = 3.0;
+const CONFIDENCE_STANDARD_ERRORS: f64 = 3.0;
 /// Least time after which a refused caller may come back.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// A request that no back end begins to answer within its caller's patience.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -30,18 +30,18 @@
     remaining: Duration,
     objective: Duration,
 ) -> Option<Unservable> {
-    let expected = sure_wait(choice, estimates).filter(|expected| *expected > remaining)?;
-    Some(Unservable { expected, retry_after: expected.saturating_sub(objective).max(LEAST_WAIT) })
+    let expected = confident_wait(choice, estimates).filter(|expected| *expected > remaining)?;
+    Some(Unservable { expected, retry_after: expected.saturating_sub(objective).max(MIN_RETRY_AFTER) })
 }
 
 /// Whether [`check`] refuses such a request.
 pub fn is_unservable(choice: &Choice, estimates: &ServiceEstimates, remaining: Duration) -> bool {
-    sure_wait(choice, estimates).is_some_and(|expected| expected > remaining)
+    confident_wait(choice, estimates).is_some_and(|expected| expected > remaining)
 }
 
 /// The time that surely passes until the back end begins to answer; `None` where nothing is sure.
-fn sure_wait(choice: &Choice, estimates: &ServiceEstimates) -> Option<Duration> {
+fn confident_wait(choice: &Choice, estimates: &ServiceEstimates) -> Option<Duration> {
     let error_ms = estimates.first_event_error_ms(choice.first_event())?;
-    let surely_ms = choice.expected_ms? - SURE_ERRORS * error_ms;
-    Some(Duration::from_secs_f64(surely_ms.max(0.0) / 1_000.0))
+    let lower_bound_ms = choice.expected_ms? - CONFIDENCE_STANDARD_ERRORS * error_ms;
+    Some(Duration::from_secs_f64(lower_bound_ms.max(0.0) / 1_000.0))
 }
--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -9,23 +9,23 @@
 use beamwall_quarantine::Admission;
 use tokio::time::Instant;
 
-use crate::attempt::{AttemptFailure, Ran};
+use crate::attempt::{AttemptFailure, Execution};
 use crate::failover::FailedAttempt;
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 use crate::refusal::Refusal;
 
 /// Attempts that may fail before anything is sent, beyond those that the route allows.
-const UNSENT_LIMIT: usize = 3;
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 /// Times that a request looks whether it can go back to the back end that it left.
-const MOST_RETURNS: u32 = 3;
+const MAX_RETURNS: u32 = 3;
 /// Pause before the second such look and each further one.
-const RETURN_PAUSE: Duration = Duration::from_millis(300);
+const RETURN_DELAY: Duration = Duration::from_millis(300);
 
 /// What another attempt lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum RetryBlocker {
     /// The route, the request or the time that is left allows none.
     Attempt,
     /// The retry budget is spent.
@@ -34,7 +34,7 @@
     BackEnd,
 }
 
-impl Missing {
+impl RetryBlocker {
     /// The word used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
     /// Whether any attempt may have run it.
     pub may_have_run: bool,
     /// The back end that was left for its silence alone.
-    left: Option<Choice>,
+    abandoned: Option<Choice>,
     /// Times that the request looked whether it can go back there.
     returns: u32,
 }
@@ -69,7 +69,7 @@
     }
 
     /// Notes an attempt that failed before it began to answer, and gives where the request goes next.
-    pub async fn go_on(
+    pub async fn continue_after_failure(
         &mut self,
         forwarder: &Forwarder,
         call: &Call,
@@ -77,17 +77,23 @@
         failed: FailedAttempt,
     ) -> Option<Choice> {
         let FailedAttempt { failure, next } = failed;
-        if failure.begun {
-            forwarder.record_run(call);
+        if failure.has_started {
+            forwarder.record_usage(call);
         }
-        self.fail(forwarder, call, &choice.backend, failure);
+        self.record_failure(forwarder, call, &choice.backend, failure);
         self.next_choice(forwarder, call, choice, next).await
     }
 
-    fn fail(&mut self, forwarder: &Forwarder, call: &Call, backend: &BackendId, failure: AttemptFailure) {
+    fn record_failure(
+        &mut self,
+        forwarder: &Forwarder,
+        call: &Call,
+        backend: &BackendId,
+        failure: AttemptFailure,
+    ) {
         self.sent += u32::from(failure.sent);
-        if failure.sent && failure.ran == Ran::No {
-            forwarder.knowledge.health.note_refused(backend, Instant::now());
+        if failure.sent && failure.execution == Execution::NotExecuted {
+            forwarder.backend_state.health.note_refused(backend, Instant::now());
         }
         self.note(forwarder, call, backend, failure);
     }
@@ -100,17 +106,17 @@
         backend: &BackendId,
         failure: AttemptFailure,
     ) {
-        if failure.answer_lost {
+        if failure.response_lost {
             forwarder.quarantine.note_lost(call.fingerprint, backend);
         }
         emit(&AttemptFailed {
             request: call.log_id(),
             fingerprint: call.fingerprint.to_string(),
             backend: backend.to_string(),
-            ran: failure.ran.as_str().to_owned(),
+            ran: failure.execution.as_str().to_owned(),
             reason: failure.reason.clone(),
         });
-        self.may_have_run |= failure.ran == Ran::Maybe;
+        self.may_have_run |= failure.execution == Execution::MaybeExecuted;
         self.last_failure = Some(failure);
     }
 
@@ -118,11 +124,11 @@
     /// request may run again, and back ends have not ended under it.
     fn allows_another(&self, forwarder: &Forwarder, call: &Call, sent: u32) -> bool {
         let limit = call.attempt_limit();
-        let is_within_limit = sent < limit && self.tried.len() < UNSENT_LIMIT + limit as usize;
-        is_within_limit && self.may_repeat(forwarder, call)
+        let is_within_limit = sent < limit && self.tried.len() < MAX_UNSENT_ATTEMPTS + limit as usize;
+        is_within_limit && self.may_resend(forwarder, call)
     }
 
-    fn may_repeat(&self, forwarder: &Forwarder, call: &Call) -> bool {
+    fn may_resend(&self, forwarder: &Forwarder, call: &Call) -> bool {
         let is_held = call.admission == Admission::Usual && forwarder.quarantine.is_held(&call.fingerprint);
         let may_run_again = call.route.kind.is_idempotent() || !self.may_have_run;
         !is_held && may_run_again && !call.remaining().is_zero()
@@ -143,12 +149,12 @@
         reserved: Option<Choice>,
     ) -> Option<Choice> {
         if reserved.is_some() {
-            self.left = Some(choice.clone());
+            self.abandoned = Some(choice.clone());
             return reserved;
         }
         match self.reserve(forwarder, call, self.sent, Vec::new()).await {
             Ok(choice) => Some(choice),
-            Err(_) => self.return_to_left(forwarder, call).await,
+            Err(_) => self.return_to_abandoned(forwarder, call).await,
         }
     }
 
@@ -160,15 +166,15 @@
         call: &Call,
         sent: u32,
         avoided: Vec<BackendId>,
-    ) -> Result<Choice, Missing> {
+    ) -> Result<Choice, RetryBlocker> {
         if !self.allows_another(forwarder, call, sent) {
-            return Err(Missing::Attempt);
+            return Err(RetryBlocker::Attempt);
         }
         let retry = match sent {
             0 => None,
-            _ => Some(forwarder.retries.reserve(&call.service, Instant::now()).ok_or(Missing::Retry)?),
+            _ => Some(forwarder.retries.reserve(&call.service, Instant::now()).ok_or(RetryBlocker::Retry)?),
         };
-        let choice = self.choose(forwarder, call, avoided).await.ok_or(Missing::BackEnd)?;
+        let choice = self.choose(forwarder, call, avoided).await.ok_or(RetryBlocker::BackEnd)?;
         if let Some(retry) = retry {
             retry.spend();
         }
@@ -189,30 +195,31 @@
 
     /// Goes back to the back end that was left for its silence where the one asked in its place did not take the request: it is no
     /// further one, and may be well again. Where it refuses too, or no retry is left, both may change soon.
-    async fn return_to_left(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
-        let left = self.left.clone()?;
-        while self.returns < MOST_RETURNS {
+    async fn return_to_abandoned(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
+        let abandoned = self.abandoned.clone()?;
+        while self.returns < MAX_RETURNS {
             if self.returns > 0 {
-                running::sleep(RETURN_PAUSE).await;
+                running::sleep(RETURN_DELAY).await;
             }
             self.returns += 1;
-            if !self.may_return(forwarder, call, &left.backend) {
+            if !self.may_return(forwarder, call, &abandoned.backend) {
                 return None;
             }
             if let Some(retry) = forwarder.retries.reserve(&call.service, Instant::now()) {
                 retry.spend();
-                forwarder.note_chosen(call, &left);
-                return Some(left);
+                forwarder.note_chosen(call, &abandoned);
+                return Some(abandoned);
             }
         }
         None
     }
 
-    fn may_return(&self, forwarder: &Forwarder, call: &Call, left: &BackendId) -> bool {
-        let was_refused = self.last_failure.as_ref().is_some_and(|failure| failure.ran == Ran::No);
+    fn may_return(&self, forwarder: &Forwarder, call: &Call, abandoned: &BackendId) -> bool {
+        let was_refused =
+            self.last_failure.as_ref().is_some_and(|failure| failure.execution == Execution::NotExecuted);
         let directory = forwarder.directory.load();
-        let is_usable = directory.get(left).is_some_and(|listed| !listed.draining);
-        was_refused && is_usable && self.may_repeat(forwarder, call)
+        let is_usable = directory.get(abandoned).is_some_and(|listed| !listed.draining);
+        was_refused && is_usable && self.may_resend(forwarder, call)
     }
 
     /// The final answer after the last failure.
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -11,24 +11,24 @@
 use tokio::time::Instant;
 
 use crate::choice::Candidate;
-use crate::cut_zones::CutZones;
 use crate::directory::{Backend, Directory};
-use crate::health::HealthBook;
+use crate::directory_staleness::StalenessTracker;
+use crate::health::HealthTracker;
 use crate::health::HealthView;
-use crate::list_doubts::ListDoubts;
-use crate::load::{LoadBook, OpenLoad};
-use crate::placement::{ReadingQueues, UnreachableReports};
+use crate::load::{LoadTracker, OpenLoad};
+use crate::placement::{PrefillQueues, UnreachableReports};
 use crate::placement_groups::EngineGroup;
 use crate::ports::Prompt;
-use crate::prefix::{self, PrefixBelief};
+use crate::prefix_cache::{self, PrefixCacheIndex};
 use crate::reporter::Reporter;
+use crate::unreachable_zones::UnreachableZones;
 
 /// Back ends drawn at random for each request that a node chooses for itself, beside those that keep parts of
 /// its prompt. Nodes that all looked at all back ends would all choose the one that was idle at the last
 /// heartbeat.
-const SAMPLED: usize = 10;
+const SENDER_SAMPLE_SIZE: usize = 10;
 /// The same for a request placed for all nodes: more are not compared, so that the time for it is bounded.
-const SAMPLED_FOR_ALL: usize = 128;
+const PLACER_SAMPLE_SIZE: usize = 128;
 
 /// What a back end is looked for.
 #[derive(Debug, Clone, Copy)]
@@ -62,30 +62,30 @@
 
 /// What a node knows of back ends beside the directory.
 #[derive(Debug, Default)]
-pub struct Knowledge {
+pub struct BackendState {
     /// Open work.
-    pub loads: Arc<LoadBook>,
+    pub loads: Arc<LoadTracker>,
     /// Recent failures.
-    pub health: HealthBook,
+    pub health: HealthTracker,
     /// Kept prompt parts.
-    pub prefixes: PrefixBelief,
+    pub prefixes: PrefixCacheIndex,
     /// Prompts that this node placed for all.
-    pub queues: ReadingQueues,
+    pub queues: PrefillQueues,
     /// What speaks against the list of back ends.
-    pub doubts: ListDoubts,
+    pub staleness: StalenessTracker,
     /// Engines that those could not reach for whom this node places.
     pub reports: UnreachableReports,
     /// Zones from which this node seems to be cut off.
-    pub cut_zones: CutZones,
+    pub unreachable_zones: UnreachableZones,
     /// What back ends can do.
     pub models: EngineModels<Reporter>,
 }
 
-impl Knowledge {
+impl BackendState {
     /// Forgets back ends that the directory does not hold.
-    pub fn follow(&self, directory: &Directory) {
+    pub fn retain_listed(&self, directory: &Directory) {
         self.health.retain(|backend| directory.get(backend).is_some());
-        self.doubts.retain(|backend| directory.get(backend).is_some());
+        self.staleness.retain(|backend| directory.get(backend).is_some());
         self.prefixes.retain(|backend| directory.get(backend).is_some());
         self.queues.retain(|backend| directory.get(backend).is_some());
         self.reports.retain(|backend| directory.get(backend).is_some());
@@ -98,17 +98,20 @@
         let now = Instant::now();
         let estimates = self.models.estimates(search.service);
         let factors = self.models.factors();
-        let usable = allowed_by(search.versions, directory.usable_in_group(search.service, search.group));
+        let usable =
+            allowed_by_rollout(search.versions, directory.usable_in_group(search.service, search.group));
         let names = usable.iter().map(|backend| &backend.id);
-        let home = search.prompt.and_then(|prompt| prefix::home(prompt, names));
+        let preferred_back_end =
+            search.prompt.and_then(|prompt| prefix_cache::preferred_back_end(prompt, names));
         let mut allowed: Vec<&Backend> =
             usable.into_iter().filter(|backend| !search.avoided.contains(&backend.id)).collect();
         allowed.shuffle(&mut rand::rng());
-        let sampled = if search.by == ChosenBy::Sender { SAMPLED } else { SAMPLED_FOR_ALL };
+        let sample_size = if search.by == ChosenBy::Sender { SENDER_SAMPLE_SIZE } else { PLACER_SAMPLE_SIZE };
         let considered = allowed.iter().enumerate().filter(|(position, backend)| {
-            let is_kept =
-                || search.prompt.is_some_and(|prompt| self.prefixes.keeps_any(&backend.id, prompt, now));
-            *position < sampled || home == Some(&backend.id) || is_kept()
+            let caches_part = || {
+                search.prompt.is_some_and(|prompt| self.prefixes.caches_shared_part(&backend.id, prompt, now))
+            };
+            *position < sample_size || preferred_back_end == Some(&backend.id) || caches_part()
         });
         considered
             .map(|(_, backend)| Candidate {
@@ -116,7 +119,9 @@
                 same_zone: &backend.zone == search.zone,
                 slots: backend.slots,
                 load: self.load(&backend.id, search.by, &estimates, now),
-                reading: search.prompt.map(|prompt| self.reading(&backend.id, home, prompt, now)),
+                reading: search
+                    .prompt
+                    .map(|prompt| self.reading(&backend.id, preferred_back_end, prompt, now)),
                 slowness: factors.of(&backend.id),
                 health: self.health(backend, search.by, now),
             })
@@ -126,25 +131,29 @@
     fn health(&self, backend: &Backend, by: ChosenBy, now: Instant) -> HealthView {
         let own = self.health.view(&backend.id, now);
         let is_reported = || by == ChosenBy::Placer && self.reports.is_confirmed(&backend.id, now);
-        let is_cut_off =
-            || self.cut_zones.contains(&backend.zone) && !self.health.is_heard(&backend.id, running::now());
+        let is_cut_off = || {
+            self.unreachable_zones.contains(&backend.zone)
+                && !self.health.is_responsive(&backend.id, running::now())
+        };
         HealthView { unreachable: own.unreachable || is_reported() || is_cut_off(), ..own }
     }
 
     /// Back ends that would hardly take over a request now: they refused one a moment ago, could not be reached, or owe
     /// events to this node's streams and are silent themselves.
-    pub(crate) fn not_taking(&self) -> Vec<BackendId> {
+    pub(crate) fn unlikely_to_accept(&self) -> Vec<BackendId> {
         let now = Instant::now();
         let mut found = self.health.refusing(now);
         found.extend(self.health.unreachable(now));
-        let owing = self.loads.back_ends_answering().into_iter();
-        found.extend(owing.filter(|backend| !self.health.is_heard(backend, running::now())));
+        let with_pending_events = self.loads.back_ends_responding().into_iter();
+        found.extend(
+            with_pending_events.filter(|backend| !self.health.is_responsive(backend, running::now())),
+        );
         found
     }
 
     /// Takes the zones of which no node is heard; gives those that are found cut off only now.
     pub fn note_silent_zones(&self, silent: &HashSet<ZoneName>, directory: &Directory) -> Vec<ZoneName> {
-        self.cut_zones.update(silent, directory, &self.health, &self.reports, Instant::now())
+        self.unreachable_zones.update(silent, directory, &self.health, &self.reports, Instant::now())
     }
 
     fn load(
@@ -154,32 +163,36 @@
         estimates: &ServiceEstimates,
         now: Instant,
     ) -> OpenLoad {
-        let told = self.loads.total(backend);
+        let reported_load = self.loads.total(backend);
         match (by, estimates.tokens_per_ms()) {
             (ChosenBy::Placer, Some(speed)) => {
-                let prompt_tokens = (self.queues.left_ms(backend, now) * speed) as u64;
-                OpenLoad { prompt_tokens, requests: told.requests + self.queues.untold(backend, now) }
+                let prompt_tokens = (self.queues.prefill_left_ms(backend, now) * speed) as u64;
+                OpenLoad {
+                    prompt_tokens,
+                    requests: reported_load.requests + self.queues.unreported_requests(backend, now),
+                }
             }
-            _ => told,
+            _ => reported_load,
         }
     }
 
     fn reading(
         &self,
         backend: &BackendId,
-        home: Option<&BackendId>,
+        preferred_back_end: Option<&BackendId>,
         prompt: &Prompt,
         now: Instant,
     ) -> Reading {
-        let kept = self.prefixes.kept_tokens(backend, prompt, now);
-        let assumed = if home == Some(backend) { prefix::shared_tokens(prompt) } else { 0 };
+        let kept = self.prefixes.estimated_cached_tokens(backend, prompt, now);
+        let assumed =
+            if preferred_back_end == Some(backend) { prefix_cache::shared_tokens(prompt) } else { 0 };
         let kept = kept.max(assumed).min(u64::from(prompt.prompt_tokens));
         Reading::of_rest(kept, u64::from(prompt.prompt_tokens) - kept)
     }
 }
 
 /// The back ends that a rollout lets take a request.
-fn allowed_by<'a>(
+fn allowed_by_rollout<'a>(
     versions: Option<&VersionRule>,
     back_ends: impl Iterator<Item = &'a Backend>,
 ) -> Vec<&'a Backend> {
--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -13,20 +13,20 @@
 use crate::load::OpenLoad;
 
 /// Cost of one open request while nothing is known of the service: only the order that it gives counts.
-const UNLEARNT_REQUEST_MS: f64 = 10.0;
+const UNTRAINED_REQUEST_MS: f64 = 10.0;
 /// Wait for a slot while it is not known how long streams take: only the order that it gives counts.
-const UNLEARNT_SLOT_MS: f64 = 500.0;
+const UNTRAINED_SLOT_MS: f64 = 500.0;
 /// Surcharge for another zone: the way there and back, and the price of the bytes.
 const OTHER_ZONE_MS: f64 = 4.0;
 /// Surcharge for a back end all of whose requests failed lately.
 const FAILING_MS: f64 = 2_000.0;
 /// Share of failures that is usual and not held against a back end.
-const USUAL_FAILURE_SHARE: f64 = 0.25;
+const TOLERATED_FAILURE_SHARE: f64 = 0.25;
 /// Surcharge for a back end that could not be reached a moment ago.
 const UNREACHABLE_MS: f64 = 5_000.0;
 /// Surcharge for a back end whose pauses between events are expected to be twice the objective; in proportion where
 /// they are less too long. A stream with such a pause is late from then on, however early it began.
-const PAUSES_MS: f64 = 1_000.0;
+const GAP_EXCESS_MS: f64 = 1_000.0;
 
 /// A back end that may be chosen.
 #[derive(Debug, Clone, PartialEq)]
@@ -66,25 +66,25 @@
             Some(reading) => estimates.first_event_ms(self.first_event(reading))?,
             None => estimates.plain_call_ms(self.load.requests)?,
         };
-        let slot_ms = estimates.stream_ms().unwrap_or(UNLEARNT_SLOT_MS) / f64::from(self.slots.max(1));
+        let slot_ms = estimates.stream_ms().unwrap_or(UNTRAINED_SLOT_MS) / f64::from(self.slots.max(1));
         let wait_ms = if self.reading.is_some() { f64::from(self.waiting()) * slot_ms } else { 0.0 };
         Some((answer_ms + wait_ms) * self.slowness)
     }
 
     /// How much too long its pauses between events are expected to be, as a part of the objective, at most 1.
-    fn excess_of_pauses(&self, expectation: &Expectation<'_>) -> f64 {
-        let pause_ms = expectation.estimates.event_gap_ms(self.load.requests.min(self.slots));
-        match (self.reading, pause_ms, expectation.pause_objective_ms) {
-            (Some(_), Some(pause_ms), Some(objective_ms)) => {
-                (pause_ms * self.slowness / objective_ms as f64 - 1.0).clamp(0.0, 1.0)
+    fn event_gap_excess(&self, expectation: &Expectation<'_>) -> f64 {
+        let gap_ms = expectation.estimates.event_gap_ms(self.load.requests.min(self.slots));
+        match (self.reading, gap_ms, expectation.pause_objective_ms) {
+            (Some(_), Some(gap_ms), Some(objective_ms)) => {
+                (gap_ms * self.slowness / objective_ms as f64 - 1.0).clamp(0.0, 1.0)
             }
             _ => 0.0,
         }
     }
 
     /// What stands for the expected time while nothing is known of the service.
-    fn unlearnt_ms(&self) -> f64 {
-        f64::from(self.load.requests) * UNLEARNT_REQUEST_MS + f64::from(self.waiting()) * UNLEARNT_SLOT_MS
+    fn untrained_ms(&self) -> f64 {
+        f64::from(self.load.requests) * UNTRAINED_REQUEST_MS + f64::from(self.waiting()) * UNTRAINED_SLOT_MS
     }
 }
 
@@ -99,12 +99,12 @@
 
 /// The cost of a candidate in milliseconds.
 pub fn cost_ms(candidate: &Candidate, expectation: &Expectation<'_>) -> f64 {
-    let work = candidate.expected_ms(expectation).unwrap_or_else(|| candidate.unlearnt_ms());
-    let pauses = candidate.excess_of_pauses(expectation) * PAUSES_MS;
-    let way = if candidate.same_zone { 0.0 } else { OTHER_ZONE_MS };
-    let failing = (candidate.health.failure_share - USUAL_FAILURE_SHARE).max(0.0) * FAILING_MS;
+    let expected = candidate.expected_ms(expectation).unwrap_or_else(|| candidate.untrained_ms());
+    let gaps = candidate.event_gap_excess(expectation) * GAP_EXCESS_MS;
+    let zone_ms = if candidate.same_zone { 0.0 } else { OTHER_ZONE_MS };
+    let failing = (candidate.health.failure_share - TOLERATED_FAILURE_SHARE).max(0.0) * FAILING_MS;
     let unreachable = if candidate.health.unreachable { UNREACHABLE_MS } else { 0.0 };
-    work + pauses + way + failing + unreachable
+    expected + gaps + zone_ms + failing + unreachable
 }
 
 /// The cheapest candidate with its cost; of equal ones the first.
@@ -146,12 +146,12 @@
             ChoiceStrategy::LeastRequests => {
                 candidates.iter().min_by_key(|candidate| candidate.load.requests)?
             }
-            ChoiceStrategy::RoundRobin => self.next_in_turn(candidates)?,
+            ChoiceStrategy::RoundRobin => self.next_round_robin(candidates)?,
         };
         Some((chosen, cost_ms(chosen, expectation)))
     }
 
-    fn next_in_turn<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+    fn next_round_robin<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
         let mut in_order: Vec<&Candidate> = candidates.iter().collect();
         in_order.sort_by(|left, right| left.backend.cmp(&right.backend));
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
--- a/crates/beamwall-gateway/src/demand.rs
+++ b/crates/beamwall-gateway/src/demand.rs
@@ -14,11 +14,11 @@
 use crate::reporter::Reporter;
 
 /// Events assumed of a route whose streams have not ended yet.
-const USUAL_EVENTS: f64 = 20.0;
+const DEFAULT_EVENTS_PER_STREAM: f64 = 20.0;
 /// Weight of the newest stream in a route's usual number of events.
-const EVENTS_WEIGHT: f64 = 0.1;
+const EVENTS_EWMA_WEIGHT: f64 = 0.1;
 /// Time over which demand is averaged.
-const AVERAGED_OVER: Duration = Duration::from_secs(2);
+const AVERAGING_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Default)]
 struct Meter {
@@ -37,11 +37,11 @@
 
 /// Demand at this node and, as told, at its peers.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     state: Mutex<State>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -49,7 +49,7 @@
     /// Notes a request that has arrived on a route.
     pub fn note_request(&self, service: &ServiceName, route: &str, reading: Reading) {
         let mut state = self.lock();
-        let events = state.events_by_route.get(route).copied().unwrap_or(USUAL_EVENTS);
+        let events = state.events_by_route.get(route).copied().unwrap_or(DEFAULT_EVENTS_PER_STREAM);
         state.own.entry(service.clone()).or_default().pending +=
             Workload { requests: 1.0, tokens: reading.tokens as f64, pairs: reading.pairs as f64, events };
     }
@@ -57,15 +57,15 @@
     /// Notes how many events a stream of a route had.
     pub fn note_events(&self, route: &str, events: u64) {
         let mut state = self.lock();
-        let usual = state.events_by_route.entry(route.to_owned()).or_insert(events as f64);
-        *usual = *usual * (1.0 - EVENTS_WEIGHT) + events as f64 * EVENTS_WEIGHT;
+        let average = state.events_by_route.entry(route.to_owned()).or_insert(events as f64);
+        *average = *average * (1.0 - EVENTS_EWMA_WEIGHT) + events as f64 * EVENTS_EWMA_WEIGHT;
     }
 
     /// Ends a period of `length` and gives this node's demand by service.
     pub fn close_period(&self, length: Duration) -> HashMap<ServiceName, Workload> {
         let mut state = self.lock();
         let seconds = length.as_secs_f64().max(1e-3);
-        let weight = 1.0 - (-length.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp();
+        let weight = 1.0 - (-length.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
         let close = |(service, meter): (&ServiceName, &mut Meter)| {
             let newest = std::mem::take(&mut meter.pending) / seconds;
             meter.mean = meter.mean.mixed_with(newest, weight);
@@ -80,7 +80,7 @@
     }
 
     /// Forgets a peer that is not alive: its callers go elsewhere.
-    pub fn forget_peer(&self, peer: &Reporter) {
+    pub fn remove_peer(&self, peer: &Reporter) {
         self.lock().peers.remove(peer);
     }
 
@@ -89,8 +89,8 @@
         let state = self.lock();
         let mut sum: HashMap<ServiceName, Workload> =
             state.own.iter().map(|(service, meter)| (service.clone(), meter.mean)).collect();
-        let of_nodes = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
-        for (service, work) in of_nodes.flat_map(|(_, demand)| demand) {
+        let node_demand = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
+        for (service, work) in node_demand.flat_map(|(_, demand)| demand) {
             *sum.entry(service.clone()).or_default() += *work;
         }
         sum
@@ -100,7 +100,7 @@
     pub fn total(&self, service: &ServiceName) -> Option<Workload> {
         let state = self.lock();
         let own = state.own.get(service).map(|meter| meter.mean);
-        let told = state.peers.values().filter_map(|demand| demand.get(service).copied());
-        own.into_iter().chain(told).reduce(|sum, work| sum + work)
+        let reported = state.peers.values().filter_map(|demand| demand.get(service).copied());
+        own.into_iter().chain(reported).reduce(|sum, work| sum + work)
     }
 }
--- a/crates/beamwall-gateway/src/directory.rs
+++ b/crates/beamwall-gateway/src/directory.rs
@@ -64,12 +64,12 @@
 pub struct Directory {
     revision: u64,
     digest: u64,
-    backends: Listed,
-    lapsed: Listed,
+    backends: BackendsByInstance,
+    expired: BackendsByInstance,
     /// What was read of the first list before all of it is known.
-    read_so_far: Listed,
+    partial_list: BackendsByInstance,
     /// The same by their lives; made anew with each change.
-    lives: Arc<HashMap<BackendId, Arc<Backend>>>,
+    by_id: Arc<HashMap<BackendId, Arc<Backend>>>,
     /// The back ends that take requests, by service; made anew with each change.
     usable: Arc<HashMap<ServiceName, EngineGroups>>,
     /// What changed lately, to be told to peers.
@@ -77,11 +77,11 @@
 }
 
 /// Back ends by the name under which they are listed: of each instance one life.
-type Listed = BTreeMap<InstanceName, Arc<Backend>>;
+type BackendsByInstance = BTreeMap<InstanceName, Arc<Backend>>;
 
 /// What a list that was read says of the one held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Correction {
+pub enum Reconciliation {
     /// Both are the same.
     Confirmed,
     /// They differed; the one that was read is held now.
@@ -92,11 +92,11 @@
 
 /// What it means when a back end is not listed any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Vanishing {
+pub enum RemovalCause {
     /// It is gone.
     Gone,
     /// Its entry may have lapsed while the store was away.
-    MayHaveLapsed,
+    MaybeExpired,
 }
 
 impl Directory {
@@ -107,11 +107,11 @@
 
     /// Whether back ends are known, or that there are none.
     pub fn is_known(&self) -> bool {
-        self.is_whole() || !self.read_so_far.is_empty()
+        self.is_fully_loaded() || !self.partial_list.is_empty()
     }
 
     /// Whether all back ends are known: a part of them serves callers, but says nothing of how many there are.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_loaded(&self) -> bool {
         self.revision > 0
     }
 
@@ -127,11 +127,11 @@
 
     /// One back end, listed or lapsed; `None` for a life that another has followed.
     pub fn get(&self, id: &BackendId) -> Option<&Backend> {
-        self.lives.get(id).map(Arc::as_ref)
+        self.by_id.get(id).map(Arc::as_ref)
     }
 
     /// Whether a life of a back end is listed, leaving ones left out.
-    pub fn lists(&self, id: &BackendId) -> bool {
+    pub fn is_listed_available(&self, id: &BackendId) -> bool {
         self.get(id).is_some_and(|known| {
             let listed = self.backends.get(&known.instance);
             listed.is_some_and(|listed| listed.id == *id && !listed.draining)
@@ -160,10 +160,10 @@
     }
 
     /// Sorts the back ends anew.
-    fn sort(&mut self) {
+    fn rebuild_indexes(&mut self) {
         let mut by_service: HashMap<ServiceName, Vec<Arc<Backend>>> = HashMap::new();
-        let known = self.backends.values().chain(self.lapsed.values()).chain(self.read_so_far.values());
-        self.lives = Arc::new(known.clone().map(|known| (known.id.clone(), known.clone())).collect());
+        let known = self.backends.values().chain(self.expired.values()).chain(self.partial_list.values());
+        self.by_id = Arc::new(known.clone().map(|known| (known.id.clone(), known.clone())).collect());
         for backend in known.filter(|backend| !backend.draining) {
             by_service.entry(backend.service.clone()).or_default().push(backend.clone());
         }
@@ -172,36 +172,36 @@
     }
 
     /// Back ends whose entries lapsed and are not listed again yet.
-    pub fn lapsed(&self) -> usize {
-        self.lapsed.len()
+    pub fn expired(&self) -> usize {
+        self.expired.len()
     }
 
     /// Takes lapsed back ends for gone; returns whether there were any.
-    pub fn drop_lapsed(&mut self) -> bool {
-        let dropped = !std::mem::take(&mut self.lapsed).is_empty();
-        self.sort();
+    pub fn drop_expired(&mut self) -> bool {
+        let dropped = !std::mem::take(&mut self.expired).is_empty();
+        self.rebuild_indexes();
         dropped
     }
 
     /// Uses what was read of the first list until the whole is known; returns whether it is used.
-    pub fn use_meanwhile(&mut self, read: Vec<Backend>) -> bool {
-        if self.is_whole() {
+    pub fn use_partial_list(&mut self, read: Vec<Backend>) -> bool {
+        if self.is_fully_loaded() {
             return false;
         }
-        self.read_so_far =
+        self.partial_list =
             read.into_iter().map(|backend| (backend.instance.clone(), Arc::new(backend))).collect();
-        self.sort();
+        self.rebuild_indexes();
         true
     }
 
     /// Keeps what has vanished since `before` as lapsed, and forgets what is listed again.
-    fn note_lapsed(&mut self, before: Listed, vanishing: Vanishing) {
-        if vanishing == Vanishing::MayHaveLapsed {
-            self.lapsed.extend(before.into_iter().filter(|(_, backend)| !backend.draining));
+    fn update_expired(&mut self, before: BackendsByInstance, removal_cause: RemovalCause) {
+        if removal_cause == RemovalCause::MaybeExpired {
+            self.expired.extend(before.into_iter().filter(|(_, backend)| !backend.draining));
         }
         let listed = &self.backends;
-        self.lapsed.retain(|id, _| !listed.contains_key(id));
-        self.sort();
+        self.expired.retain(|id, _| !listed.contains_key(id));
+        self.rebuild_indexes();
     }
 
     /// The whole as a snapshot, for peers.
@@ -211,7 +211,7 @@
 
     /// Whether a later life is listed than the one that an entry is of: an engine's last entry may be written after the first
     /// one of its next life.
-    pub fn knows_later_life(&self, backend: &Backend) -> bool {
+    pub fn has_newer_generation(&self, backend: &Backend) -> bool {
         self.backends.get(&backend.instance).is_some_and(|known| known.follows(backend))
     }
 
@@ -221,30 +221,30 @@
     }
 
     /// Takes a snapshot if it is newer; returns whether it was taken.
-    pub fn replace(&mut self, snapshot: DirectorySnapshot, vanishing: Vanishing) -> bool {
+    pub fn replace(&mut self, snapshot: DirectorySnapshot, removal_cause: RemovalCause) -> bool {
         if snapshot.revision <= self.revision {
             return false;
         }
-        self.put_in_place(snapshot, vanishing);
+        self.install_snapshot(snapshot, removal_cause);
         true
     }
 
     /// Takes a list that was read from the store at one moment, also where it has the revision of the list held and other contents:
     /// then what led to this revision left something out. Peers are not told what led there any more.
-    pub fn correct(&mut self, read: DirectorySnapshot, vanishing: Vanishing) -> Correction {
+    pub fn reconcile(&mut self, read: DirectorySnapshot, removal_cause: RemovalCause) -> Reconciliation {
         if read.revision < self.revision {
-            return Correction::Outdated;
+            return Reconciliation::Outdated;
         }
         let is_newer = read.revision > self.revision;
         let before = self.digest;
-        self.put_in_place(read, vanishing);
+        self.install_snapshot(read, removal_cause);
         if !is_newer && self.digest != before {
             self.recent = ChangeLog::default();
         }
-        if self.digest == before { Correction::Confirmed } else { Correction::Changed }
+        if self.digest == before { Reconciliation::Confirmed } else { Reconciliation::Changed }
     }
 
-    fn put_in_place(&mut self, snapshot: DirectorySnapshot, vanishing: Vanishing) {
+    fn install_snapshot(&mut self, snapshot: DirectorySnapshot, removal_cause: RemovalCause) {
         let known = &self.backends;
         let listed = snapshot.backends.into_iter().map(Arc::new).map(|backend| {
             let known = known.get(&backend.instance).filter(|known| known.follows(&backend));
@@ -257,60 +257,65 @@
         self.recent
             .add(self.revision..=self.revision, DirectoryChanges { revision: snapshot.revision, changes });
         self.revision = snapshot.revision;
-        self.read_so_far.clear();
-        self.note_lapsed(before, vanishing);
+        self.partial_list.clear();
+        self.update_expired(before, removal_cause);
         self.digest = digest_of(self.backends.values().map(Arc::as_ref));
     }
 
     /// Takes changes that a peer told to a node that held `base`; returns whether they were taken. They may leave out what came
     /// and went since, so only the list of just this revision may take them.
-    pub fn apply_told(&mut self, base: u64, changes: DirectoryChanges, vanishing: Vanishing) -> bool {
-        self.revision == base && self.apply(base, changes, vanishing)
+    pub fn apply_peer_changes(
+        &mut self,
+        base: u64,
+        changes: DirectoryChanges,
+        removal_cause: RemovalCause,
+    ) -> bool {
+        self.revision == base && self.apply(base, changes, removal_cause)
     }
 
     /// Takes changes that follow `base`; returns whether they were taken. Changes are refused when
     /// this directory is not at least at `base`, because some between would be missing, and when
     /// it is already beyond them. An empty answer counts, too: it says that nothing has changed up to
     /// its revision, from which the next will follow.
-    pub fn apply(&mut self, base: u64, changes: DirectoryChanges, vanishing: Vanishing) -> bool {
+    pub fn apply(&mut self, base: u64, changes: DirectoryChanges, removal_cause: RemovalCause) -> bool {
         if self.revision < base || changes.revision <= self.revision {
             return false;
         }
-        let mut vanished = Listed::new();
-        let mut taken = Vec::new();
+        let mut removed = BackendsByInstance::new();
+        let mut applied = Vec::new();
         for change in changes.changes {
             let before = match &change {
-                DirectoryChange::Changed(backend) if self.knows_later_life(backend) => continue,
+                DirectoryChange::Changed(backend) if self.has_newer_generation(backend) => continue,
                 DirectoryChange::Changed(backend) => {
                     self.digest ^= digest(backend);
                     self.backends.insert(backend.instance.clone(), Arc::new(backend.clone()))
                 }
                 DirectoryChange::Gone(instance) => {
                     let before = self.backends.remove(instance);
-                    vanished.extend(before.clone().map(|before| (instance.clone(), before)));
+                    removed.extend(before.clone().map(|before| (instance.clone(), before)));
                     before
                 }
             };
             self.digest ^= before.map_or(0, |before| digest(&before));
-            taken.push(change);
+            applied.push(change);
         }
         self.revision = changes.revision;
-        let has_changed = !taken.is_empty();
+        let has_changed = !applied.is_empty();
         self.recent.add(
             base..=changes.revision - 1,
-            DirectoryChanges { revision: changes.revision, changes: taken },
+            DirectoryChanges { revision: changes.revision, changes: applied },
         );
-        let was_incomplete = !std::mem::take(&mut self.read_so_far).is_empty();
+        let was_incomplete = !std::mem::take(&mut self.partial_list).is_empty();
         // An answer of a quiet watch, each few seconds, changes nothing but the revision.
         if has_changed || was_incomplete {
-            self.note_lapsed(vanished, vanishing);
+            self.update_expired(removed, removal_cause);
         }
         true
     }
 }
 
 /// What turns one list into another.
-fn differences(before: &Listed, after: &Listed) -> Vec<DirectoryChange> {
+fn differences(before: &BackendsByInstance, after: &BackendsByInstance) -> Vec<DirectoryChange> {
     let is_gone = |instance: &&InstanceName| !after.contains_key(*instance);
     let gone = before.keys().filter(is_gone).map(|instance| DirectoryChange::Gone(instance.clone()));
     let is_new = |backend: &&Arc<Backend>| before.get(&backend.instance) != Some(*backend);
--- a/crates/beamwall-gateway/src/directory_log.rs
+++ b/crates/beamwall-gateway/src/directory_log.rs
@@ -10,7 +10,7 @@
 
 /// Changes that are remembered, in some 0.4 MB: those of two seconds in which 3,000 back ends are listed one after another. With
 /// fewer, nodes on fast links gave the whole list again and again meanwhile.
-const REMEMBERED: usize = 4_096;
+const MAX_LOGGED_CHANGES: usize = 4_096;
 
 /// One step of a list from revision to revision.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,17 +25,17 @@
 pub(crate) struct ChangeLog {
     steps: VecDeque<Step>,
     /// Changes in all steps.
-    remembered: usize,
+    logged_changes: usize,
 }
 
 impl ChangeLog {
     /// Adds a step that leads on from any of the revisions `from`.
     pub(crate) fn add(&mut self, from: RangeInclusive<u64>, changes: DirectoryChanges) {
-        self.remembered += changes.changes.len();
+        self.logged_changes += changes.changes.len();
         self.steps.push_back(Step { from, changes: Arc::new(changes) });
-        while self.remembered > REMEMBERED || self.steps.len() > REMEMBERED {
+        while self.logged_changes > MAX_LOGGED_CHANGES || self.steps.len() > MAX_LOGGED_CHANGES {
             let Some(oldest) = self.steps.pop_front() else { return };
-            self.remembered -= oldest.changes.changes.len();
+            self.logged_changes -= oldest.changes.changes.len();
         }
     }
 
--- a/crates/beamwall-gateway/src/event_stream.rs
+++ b/crates/beamwall-gateway/src/event_stream.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Largest single event; more bytes without an end are not an event stream.
-const EVENT_LIMIT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One whole event with its terminating blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 pub struct EventSplitter {
     pending: BytesMut,
     /// Pending bytes that are known to hold no event's end.
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
@@ -33,12 +33,12 @@
 
     /// The next whole event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = find_end(&self.pending, self.searched);
+        let end = find_end(&self.pending, self.scanned);
         let Some(end) = end else {
-            self.searched = self.pending.len().saturating_sub(3);
+            self.scanned = self.pending.len().saturating_sub(3);
             return None;
         };
-        self.searched = 0;
+        self.scanned = 0;
         let bytes = self.pending.split_to(end).freeze();
         let id = read_id(&bytes);
         Some(StreamEvent { bytes, id })
@@ -50,8 +50,8 @@
     }
 
     /// Whether more bytes are pending than any event may have.
-    pub fn is_overfull(&self) -> bool {
-        self.pending.len() > EVENT_LIMIT_BYTES
+    pub fn exceeds_limit(&self) -> bool {
+        self.pending.len() > MAX_EVENT_BYTES
     }
 }
 
--- a/crates/beamwall-gateway/src/failover.rs
+++ b/crates/beamwall-gateway/src/failover.rs
@@ -9,12 +9,12 @@
 use beamwall_model::BackendId;
 
 use crate::attempt::AttemptFailure;
-use crate::attempts::{Attempts, Missing};
+use crate::attempts::{Attempts, RetryBlocker};
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 
 /// Time between two looks for another back end.
-const LOOK_PERIOD: Duration = Duration::from_millis(400);
+const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// An attempt that is over, with the back end that is reserved for the next one, if any.
 pub struct FailedAttempt {
@@ -32,36 +32,36 @@
 
 /// Reserves a back end for a request whose attempt at `silent` has given no sign for too long, as soon as there is one; never
 /// returns where there is none. `sent`: how often the request has been sent, the attempt that runs included.
-pub(crate) async fn next_back_end(
+pub(crate) async fn reserve_next_back_end(
     forwarder: &Forwarder,
     call: &Call,
     attempts: &mut Attempts,
     sent: u32,
     silent: &BackendId,
 ) -> Choice {
-    let mut told = None;
+    let mut last_blocker = None;
     loop {
-        let avoided = forwarder.knowledge.not_taking();
-        let missing = match attempts.reserve(forwarder, call, sent, avoided).await {
+        let avoided = forwarder.backend_state.unlikely_to_accept();
+        let blocker = match attempts.reserve(forwarder, call, sent, avoided).await {
             Ok(choice) => {
                 forwarder.metrics.silent_back_ends.with_label_values(&["left"]).inc();
                 return choice;
             }
-            Err(missing) => missing,
+            Err(blocker) => blocker,
         };
-        if told != Some(missing) {
-            told = Some(missing);
-            note_kept(forwarder, call, silent, missing);
+        if last_blocker != Some(blocker) {
+            last_blocker = Some(blocker);
+            report_kept(forwarder, call, silent, blocker);
         }
-        running::sleep(LOOK_PERIOD).await;
+        running::sleep(RESERVE_RETRY_INTERVAL).await;
     }
 }
 
-fn note_kept(forwarder: &Forwarder, call: &Call, silent: &BackendId, missing: Missing) {
-    forwarder.metrics.silent_back_ends.with_label_values(&[missing.as_str()]).inc();
+fn report_kept(forwarder: &Forwarder, call: &Call, silent: &BackendId, blocker: RetryBlocker) {
+    forwarder.metrics.silent_back_ends.with_label_values(&[blocker.as_str()]).inc();
     emit(&SilentBackendKept {
         request: call.log_id(),
         backend: silent.to_string(),
-        missing: missing.as_str().to_owned(),
+        missing: blocker.as_str().to_owned(),
     });
 }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -18,13 +18,13 @@
 use tokio::time::Instant;
 
 use crate::admission;
-use crate::candidates::{ChosenBy, Knowledge, Search};
+use crate::candidates::{BackendState, ChosenBy, Search};
 use crate::choice::{Chooser, Expectation};
-use crate::demand::DemandBook;
+use crate::demand::DemandTracker;
 use crate::directory::Directory;
 use crate::fleet_clock::FleetClock;
 use crate::metrics::GatewayMetrics;
-use crate::placement::{Choice, PlacementAnswer, PlacementPort, PlacementQuestion};
+use crate::placement::{Choice, PlacementOutcome, PlacementPort, PlacementQuery};
 use crate::placement_groups::{EngineGroup, EngineGroups};
 use crate::ports::{Dialect, Prompt};
 use crate::quarantine::Quarantine;
@@ -32,17 +32,17 @@
 use crate::usage::UsageLedger;
 
 /// Highest rank that is told to back ends.
-const LOWEST_URGENCY: u8 = 9;
+const LOWEST_PRIORITY_RANK: u8 = 9;
 /// Ranks of routes within one rank of a tenant.
 const RANKS_PER_TENANT_RANK: u8 = 3;
 
 /// Groups of engines that are asked for a request: a second one where the first can't begin soon or does not answer.
-const GROUPS_ASKED: usize = 2;
+const MAX_GROUPS_QUERIED: usize = 2;
 /// Part of its route's objective within which a request begins soon enough in the first group.
-const ENOUGH_SHARE: f64 = 0.5;
+const ACCEPTABLE_DELAY_SHARE: f64 = 0.5;
 
 /// Part of its route's objective within which an engine reads a short prompt.
-const SHORT_READING_SHARE: f64 = 0.04;
+const SHORT_PREFILL_SHARE: f64 = 0.04;
 
 /// A caller's request, read whole, with what was decided on arrival.
 #[derive(Debug, Clone)]
@@ -74,7 +74,7 @@
     /// When it arrived.
     pub received: Instant,
     /// Time for which the machine had been suspended when it arrived.
-    pub asleep_before: Duration,
+    pub suspended_before: Duration,
     /// When its time is up: the caller's patience or the route's limit, whichever is first.
     pub deadline: Instant,
     /// The version of the policy that decided.
@@ -89,13 +89,13 @@
 
     /// Time that is left to the caller. Engines are told it, so it runs on while the machine is suspended.
     pub fn remaining(&self) -> Duration {
-        let asleep = beamwall_clock::asleep().saturating_sub(self.asleep_before);
+        let asleep = beamwall_clock::asleep().saturating_sub(self.suspended_before);
         self.deadline.saturating_duration_since(Instant::now()).saturating_sub(asleep)
     }
 
     /// Waits until the caller's time is up, also where the machine sleeps meanwhile: a caller that still waits is answered soon after
     /// it wakes.
-    pub async fn time_is_up(&self) {
+    pub async fn deadline_elapsed(&self) {
         timers::sleep(self.remaining()).await;
     }
 
@@ -120,12 +120,12 @@
     /// The rank told to back ends: the tenant's goes before the route's. A short prompt is level with the next
     /// more urgent kind, never ahead of it: it holds others up for some milliseconds and would else wait
     /// for seconds behind their long ones. `reading_ms` is the time to read the whole prompt, where it is known.
-    pub fn rank(&self, reading_ms: Option<f64>) -> u8 {
+    pub fn rank(&self, prefill_ms: Option<f64>) -> u8 {
         let tenant = self.tenant.as_ref().and_then(|tenant| tenant.rank).unwrap_or(0);
-        let short_ms = self.route.objective_ms as f64 * SHORT_READING_SHARE;
-        let is_short = reading_ms.is_some_and(|reading_ms| reading_ms < short_ms);
+        let short_ms = self.route.objective_ms as f64 * SHORT_PREFILL_SHARE;
+        let is_short = prefill_ms.is_some_and(|prefill_ms| prefill_ms < short_ms);
         let route = self.route.rank.min(RANKS_PER_TENANT_RANK - 1).saturating_sub(u8::from(is_short));
-        tenant.saturating_mul(RANKS_PER_TENANT_RANK).saturating_add(route).min(LOWEST_URGENCY)
+        tenant.saturating_mul(RANKS_PER_TENANT_RANK).saturating_add(route).min(LOWEST_PRIORITY_RANK)
     }
 }
 
@@ -142,13 +142,13 @@
     /// The back ends.
     pub directory: Arc<ArcSwap<Directory>>,
     /// What is known of them beside.
-    pub knowledge: Knowledge,
+    pub backend_state: BackendState,
     /// Chooses among back ends.
     pub chooser: Chooser,
     /// Asks the node that places requests for all.
     pub placement: Arc<dyn PlacementPort>,
     /// Work that callers ask for.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Rollouts of other versions.
     pub rollouts: RolloutBook,
     /// Requests under which back ends end.
@@ -207,13 +207,13 @@
             let old = rule.without_new();
             return chosen.or_else(|| self.choose_as_sender(call, avoided, Some(&old)));
         }
-        let placed = match &call.prompt {
+        let placement = match &call.prompt {
             Some(prompt) if !self.chooser.is_baseline() => {
-                self.ask_for_placement(call, prompt, avoided, versions).await
+                self.request_placement(call, prompt, avoided, versions).await
             }
             _ => None,
         };
-        placed.or_else(|| self.choose_as_sender(call, avoided, versions))
+        placement.or_else(|| self.choose_as_sender(call, avoided, versions))
     }
 
     fn note_sent(&self, service: &ServiceName, backend: &BackendId) {
@@ -230,7 +230,7 @@
         }
     }
 
-    async fn ask_for_placement(
+    async fn request_placement(
         &self,
         call: &Call,
         prompt: &Prompt,
@@ -239,13 +239,13 @@
     ) -> Option<Choice> {
         let groups = self.directory.load().groups(&call.service)?.in_order(prompt, rand::random());
         let mut best: Option<Choice> = None;
-        for (position, group) in groups.iter().take(GROUPS_ASKED).enumerate() {
-            let is_last = position + 1 == groups.len().min(GROUPS_ASKED);
-            let enough_ms = (!is_last).then_some(call.route.objective_ms as f64 * ENOUGH_SHARE);
-            let question = self.placement_question(call, prompt, avoided, *group, enough_ms);
-            let choice = self.ask_group(call, &question, avoided, versions).await;
+        for (position, group) in groups.iter().take(MAX_GROUPS_QUERIED).enumerate() {
+            let is_last = position + 1 == groups.len().min(MAX_GROUPS_QUERIED);
+            let enough_ms = (!is_last).then_some(call.route.objective_ms as f64 * ACCEPTABLE_DELAY_SHARE);
+            let engine_query = self.placement_query(call, prompt, avoided, *group, enough_ms);
+            let choice = self.query_group(call, &engine_query, avoided, versions).await;
             let Some(choice) = choice else { continue };
-            let is_enough = question.is_enough(&choice);
+            let is_enough = engine_query.is_good_enough(&choice);
             let is_better = |best: &Choice| choice.cost_ms < best.cost_ms;
             if best.as_ref().is_none_or(is_better) {
                 best = Some(choice);
@@ -257,23 +257,26 @@
         best
     }
 
-    fn placement_question(
+    fn placement_query(
         &self,
         call: &Call,
         prompt: &Prompt,
         avoided: &[BackendId],
         group: EngineGroup,
         enough_ms: Option<f64>,
-    ) -> PlacementQuestion {
-        PlacementQuestion {
+    ) -> PlacementQuery {
+        PlacementQuery {
             sender: self.node.clone(),
             service: call.service.clone(),
             zone: self.zone.clone(),
             group,
             prompt: prompt.clone(),
             tried: avoided.to_vec(),
-            unreachable: self.knowledge.health.unreachable(Instant::now()),
-            observed: self.knowledge.models.take_unreported(|backend| group.holds(backend), Instant::now()),
+            unreachable: self.backend_state.health.unreachable(Instant::now()),
+            observed: self
+                .backend_state
+                .models
+                .take_unreported(|backend| group.holds(backend), Instant::now()),
             pause_objective_ms: call.route.gap_objective_ms,
             remaining: call.remaining(),
             enough_ms,
@@ -281,24 +284,26 @@
     }
 
     /// Asks the node that places in one group of engines.
-    async fn ask_group(
+    async fn query_group(
         &self,
         call: &Call,
-        question: &PlacementQuestion,
+        engine_query: &PlacementQuery,
         avoided: &[BackendId],
         versions: Option<&VersionRule>,
     ) -> Option<Choice> {
-        match self.placement.place(question).await {
-            PlacementAnswer::Chosen(choice) if self.may_use(call, &choice.backend, avoided, versions) => {
+        match self.placement.place(engine_query).await {
+            PlacementOutcome::Chosen(choice)
+                if self.accepts_placement(call, &choice.backend, avoided, versions) =>
+            {
                 Some(choice)
             }
-            PlacementAnswer::PlaceHere => self.place(question),
-            PlacementAnswer::Chosen(_) | PlacementAnswer::Unanswered => None,
+            PlacementOutcome::PlaceLocally => self.place(engine_query),
+            PlacementOutcome::Chosen(_) | PlacementOutcome::Unanswered => None,
         }
     }
 
     /// Whether this node, which may know more, may send a request where it was placed.
-    fn may_use(
+    fn accepts_placement(
         &self,
         call: &Call,
         backend: &BackendId,
@@ -315,33 +320,33 @@
 
     /// Places a request for any node, and counts its prompt as queued there unless it will be refused or another group is
     /// asked.
-    pub fn place(&self, question: &PlacementQuestion) -> Option<Choice> {
+    pub fn place(&self, engine_query: &PlacementQuery) -> Option<Choice> {
         let now = Instant::now();
-        self.knowledge.reports.note(&question.sender, &question.unreachable, now);
-        self.knowledge.models.hear_report(question.observed.clone(), now);
-        let avoided = [question.tried.as_slice(), &question.unreachable].concat();
+        self.backend_state.reports.note(&engine_query.sender, &engine_query.unreachable, now);
+        self.backend_state.models.hear_report(engine_query.observed.clone(), now);
+        let avoided = [engine_query.tried.as_slice(), &engine_query.unreachable].concat();
         // Who sends to a few back ends of a new version chooses them itself, so this is for all others.
-        let versions = self.rollouts.rule(&question.service, None, beamwall_clock::now());
+        let versions = self.rollouts.rule(&engine_query.service, None, beamwall_clock::now());
         let search = Search {
-            service: &question.service,
-            zone: &question.zone,
-            prompt: Some(&question.prompt),
-            group: question.group,
+            service: &engine_query.service,
+            zone: &engine_query.zone,
+            prompt: Some(&engine_query.prompt),
+            group: engine_query.group,
             avoided: &avoided,
             versions: versions.as_ref(),
             by: ChosenBy::Placer,
         };
-        let choice = self.find(search, question.pause_objective_ms)?;
-        let estimates = self.estimates(&question.service);
-        let is_placed =
-            question.is_enough(&choice) && !admission::is_unservable(&choice, &estimates, question.remaining);
+        let choice = self.find(search, engine_query.pause_objective_ms)?;
+        let estimates = self.estimates(&engine_query.service);
+        let is_placed = engine_query.is_good_enough(&choice)
+            && !admission::is_unservable(&choice, &estimates, engine_query.remaining);
         if !is_placed {
             return Some(choice);
         }
         if let Some(reading_ms) = estimates.reading_ms(choice.reading) {
-            self.knowledge.queues.add(&choice.backend, reading_ms, now);
+            self.backend_state.queues.add(&choice.backend, reading_ms, now);
         }
-        self.knowledge.prefixes.note_read(&choice.backend, &question.prompt, now);
+        self.backend_state.prefixes.note_prefill(&choice.backend, &engine_query.prompt, now);
         Some(choice)
     }
 
@@ -366,18 +371,18 @@
     /// Requests that run at a back end, of which the node that chose it knew `known_when_chosen`. Of engines in groups this
     /// node hears only from its own zone, so there the larger number is nearer.
     pub fn running(&self, service: &ServiceName, backend: &BackendId, known_when_chosen: u32) -> u32 {
-        let told = self.knowledge.loads.total(backend).requests;
+        let reported = self.backend_state.loads.total(backend).requests;
         let is_divided = self.directory.load().groups(service).is_some_and(EngineGroups::is_divided);
-        if is_divided { told.max(known_when_chosen) } else { told }
+        if is_divided { reported.max(known_when_chosen) } else { reported }
     }
 
     /// What is expected of a service's back ends.
     pub fn estimates(&self, service: &ServiceName) -> Arc<ServiceEstimates> {
-        self.knowledge.models.estimates(service)
+        self.backend_state.models.estimates(service)
     }
 
     fn find(&self, search: Search<'_>, pause_objective_ms: Option<u64>) -> Option<Choice> {
-        let candidates = self.knowledge.candidates(&self.directory.load(), search);
+        let candidates = self.backend_state.candidates(&self.directory.load(), search);
         let estimates = self.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms };
         let (chosen, cost_ms) = self.chooser.choose(&candidates, &expectation)?;
@@ -396,14 +401,14 @@
     }
 
     /// Time to read a call's whole prompt, where it has one and the service is known.
-    pub fn reading_ms(&self, call: &Call) -> Option<f64> {
+    pub fn call_prefill_ms(&self, call: &Call) -> Option<f64> {
         let prompt = call.prompt.as_ref()?;
         let whole = Reading::of_rest(0, u64::from(prompt.prompt_tokens));
         self.estimates(&call.service).reading_ms(whole)
     }
 
     /// Counts a request that a back end began to run.
-    pub fn record_run(&self, call: &Call) {
+    pub fn record_usage(&self, call: &Call) {
         if let Some(tenant) = &call.tenant {
             self.usage.record(&tenant.name, self.clock.now());
         }
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -23,10 +23,10 @@
 use crate::{startup, stream, unary};
 
 /// Longest time that a caller may take to send a body.
-const BODY_READ_LIMIT: Duration = Duration::from_secs(10);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait until peers are told what passed here: the pause between two heartbeats in the largest zone whose nodes
 /// all tell each other.
-const TELLING_LIMIT: Duration = Duration::from_millis(350);
+const REPORT_WAIT_LIMIT: Duration = Duration::from_millis(350);
 /// Kinds of route in metrics.
 const fn kind_name(kind: RouteKind) -> &'static str {
     match kind {
@@ -46,7 +46,7 @@
     /// Forwarding.
     pub forwarder: Arc<Forwarder>,
     /// Told when the peers should hear at once.
-    pub news: Arc<Notify>,
+    pub peer_notify: Arc<Notify>,
 }
 
 /// Answers callers.
@@ -67,10 +67,10 @@
         let gateway = &self.gateway;
         let head = gateway.forwarder.dialect.read_call(request.headers());
         let request_id = head.request_id.clone();
-        startup::wait_known(|| gateway.knows_enough(), head.patience).await;
+        startup::wait_until_ready(|| gateway.has_policy_and_back_ends(), head.caller_timeout).await;
         let policy = gateway.policy.load_full();
         let mut context =
-            AnswerContext { route: None, tenant: None, fingerprint: None, version: policy.version() };
+            ResponseLogContext { route: None, tenant: None, fingerprint: None, version: policy.version() };
         let result = gateway.answer(request, head, &policy, received, &mut context).await;
         match result {
             Ok(response) => {
@@ -99,7 +99,7 @@
 }
 
 /// What is known of a request when its answer is logged.
-struct AnswerContext {
+struct ResponseLogContext {
     route: Option<Arc<Route>>,
     tenant: Option<TenantRef>,
     /// The same for all tries of one request; known once its body was read.
@@ -107,7 +107,7 @@
     version: u64,
 }
 
-impl AnswerContext {
+impl ResponseLogContext {
     fn route_name(&self) -> String {
         self.route.as_ref().map(|route| route.name.clone()).unwrap_or_default()
     }
@@ -165,7 +165,7 @@
 
 impl Gateway {
     /// Whether a policy and back ends are known, without which no request can be served.
-    fn knows_enough(&self) -> bool {
+    fn has_policy_and_back_ends(&self) -> bool {
         self.policy.load().version() > 0 && self.forwarder.directory.load().is_known()
     }
 
@@ -175,9 +175,9 @@
         head: CallHead,
         policy: &PolicyIndex,
         received: Instant,
-        context: &mut AnswerContext,
+        context: &mut ResponseLogContext,
     ) -> Result<Response<Body>, Refusal> {
-        let asleep_before = beamwall_clock::asleep();
+        let suspended_before = beamwall_clock::asleep();
         if policy.version() == 0 {
             return Err(Refusal::NotReady);
         }
@@ -191,9 +191,9 @@
         let tenant_name = tenant.as_ref().map(|tenant| tenant.name.as_str());
         let path_and_query = parts.uri.path_and_query().map_or("", |target| target.as_str());
         let mut fingerprint = FingerprintHasher::new(tenant_name, &host, path_and_query);
-        let see = |part: &[u8]| fingerprint.update(part);
-        let read = read_limited_with(body, body_limit, BODY_READ_LIMIT, see).await;
-        let body = read.map_err(from_read_error)?;
+        let hash_body_part = |part: &[u8]| fingerprint.update(part);
+        let read = read_limited_with(body, body_limit, BODY_READ_TIMEOUT, hash_body_part).await;
+        let body = read.map_err(refusal_from_read_error)?;
         let fingerprint = fingerprint.finish();
         context.fingerprint = Some(fingerprint);
         let call = Call {
@@ -211,7 +211,7 @@
             prompt: head.prompt,
             last_event: head.last_event,
             received,
-            asleep_before,
+            suspended_before,
             policy_version: policy.version(),
         };
         self.forward(Arc::new(call)).await
@@ -242,21 +242,21 @@
             (true, Some(prompt)) => work_tokens(prompt),
             (true, None) => f64::from(tenant.plain_tokens),
         };
-        let give_up = Instant::now() + TELLING_LIMIT;
+        let charge_deadline = Instant::now() + REPORT_WAIT_LIMIT;
         let charged = loop {
-            let telling = self.quotas.next_telling();
+            let report_sent = self.quotas.next_telling();
             let charged = self.quotas.charge(tenant, amount, Instant::now());
-            let fits_later = matches!(charged, Err(exceeded) if exceeded.fits_when_told);
-            if !fits_later || Instant::now() >= give_up {
+            let fits_after_report = matches!(charged, Err(exceeded) if exceeded.fits_when_told);
+            if !fits_after_report || Instant::now() >= charge_deadline {
                 break charged;
             }
-            self.news.notify_one();
+            self.peer_notify.notify_one();
             // Whichever ends the wait, the next look decides.
-            let _ = timeout_at(give_up, telling).await;
+            let _ = timeout_at(charge_deadline, report_sent).await;
         };
         let charge = charged.map_err(Refusal::QuotaExceeded)?;
         if charge.as_ref().is_some_and(|charge| charge.is_urgent) {
-            self.news.notify_one();
+            self.peer_notify.notify_one();
         }
         Ok(charge)
     }
@@ -280,11 +280,11 @@
 }
 
 fn deadline(route: &Route, head: &CallHead, received: Instant) -> Instant {
-    let hold = Duration::from_millis(route.hold_limit_ms);
-    received + head.patience.map_or(hold, |patience| patience.min(hold))
+    let hold_limit = Duration::from_millis(route.hold_limit_ms);
+    received + head.caller_timeout.map_or(hold_limit, |patience| patience.min(hold_limit))
 }
 
-fn from_read_error(error: ReadError) -> Refusal {
+fn refusal_from_read_error(error: ReadError) -> Refusal {
     match error {
         ReadError::TooLarge(_) => Refusal::BodyTooLarge,
         other => Refusal::BadBody(other.to_string()),
--- a/crates/beamwall-gateway/src/health.rs
+++ b/crates/beamwall-gateway/src/health.rs
@@ -22,7 +22,7 @@
 const REFUSING_FOR: Duration = Duration::from_millis(2_000);
 
 /// A back end that sent anything within this time is not silent.
-const HEARD_WITHIN: Duration = Duration::from_millis(400);
+const ACTIVITY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How a back end has fared lately.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -49,37 +49,37 @@
 
 /// The health of all back ends as seen by this node.
 #[derive(Debug, Default)]
-pub struct HealthBook {
+pub struct HealthTracker {
     records: Mutex<HashMap<BackendId, Record>>,
     /// When each back end last sent anything, by the clock that counts while this process runs.
-    heard: Mutex<HashMap<BackendId, Instant>>,
+    activity: Mutex<HashMap<BackendId, Instant>>,
 }
 
-impl HealthBook {
+impl HealthTracker {
     fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, Record>> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a back end sent something, whatever it was; `now` by the clock that counts while this process runs.
-    pub fn note_heard(&self, backend: &BackendId, now: Instant) {
-        let mut heard = self.heard.lock().unwrap_or_else(PoisonError::into_inner);
-        match heard.get_mut(backend) {
+    pub fn note_activity(&self, backend: &BackendId, now: Instant) {
+        let mut activity = self.activity.lock().unwrap_or_else(PoisonError::into_inner);
+        match activity.get_mut(backend) {
             Some(at) => *at = now,
             None => {
-                heard.insert(backend.clone(), now);
+                activity.insert(backend.clone(), now);
             }
         }
     }
 
     /// When a back end last sent anything to this node.
-    pub fn last_heard(&self, backend: &BackendId) -> Option<Instant> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).get(backend).copied()
+    pub fn last_activity(&self, backend: &BackendId) -> Option<Instant> {
+        self.activity.lock().unwrap_or_else(PoisonError::into_inner).get(backend).copied()
     }
 
     /// Whether a back end sent anything to this node a moment ago; `now` by the same clock.
-    pub fn is_heard(&self, backend: &BackendId, now: Instant) -> bool {
-        let heard = self.last_heard(backend);
-        heard.is_some_and(|heard| now.saturating_duration_since(heard) < HEARD_WITHIN)
+    pub fn is_responsive(&self, backend: &BackendId, now: Instant) -> bool {
+        let activity = self.last_activity(backend);
+        activity.is_some_and(|activity| now.saturating_duration_since(activity) < ACTIVITY_TIMEOUT)
     }
 
     /// Notes an answered request and whether it failed.
@@ -130,16 +130,16 @@
         self.find(|record| record.unreachable_until.is_some_and(|until| now < until))
     }
 
-    fn find(&self, holds: impl Fn(&Record) -> bool) -> Vec<BackendId> {
+    fn find(&self, matches_record: impl Fn(&Record) -> bool) -> Vec<BackendId> {
         let records = self.lock();
-        let found = records.iter().filter(|(_, record)| holds(record));
+        let found = records.iter().filter(|(_, record)| matches_record(record));
         found.map(|(backend, _)| backend.clone()).collect()
     }
 
     /// Forgets back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.lock().retain(|backend, _| is_known(backend));
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).retain(|backend, _| is_known(backend));
+        self.activity.lock().unwrap_or_else(PoisonError::into_inner).retain(|backend, _| is_known(backend));
     }
 }
 
--- a/crates/beamwall-gateway/src/lib.rs
+++ b/crates/beamwall-gateway/src/lib.rs
@@ -11,24 +11,23 @@
 pub mod attempts;
 pub mod candidates;
 pub mod choice;
-pub mod cut_zones;
 pub mod demand;
 pub mod directory;
 mod directory_log;
+pub mod directory_staleness;
 pub mod event_stream;
 pub mod failover;
 pub mod fleet_clock;
 pub mod forward;
 pub mod handler;
 pub mod health;
-pub mod list_doubts;
 pub mod load;
-pub mod losses;
+pub mod lost_responses;
 pub mod metrics;
 pub mod placement;
 pub mod placement_groups;
 pub mod ports;
-pub mod prefix;
+pub mod prefix_cache;
 pub mod quarantine;
 pub mod quota;
 pub mod refusal;
@@ -39,12 +38,13 @@
 pub mod startup;
 pub mod stream;
 pub mod unary;
+pub mod unreachable_zones;
 pub mod usage;
 
-pub use directory::{Backend, Correction, Directory, Vanishing};
+pub use directory::{Backend, Directory, Reconciliation, RemovalCause};
+pub use directory_staleness::{StalenessEvidence, StalenessTracker};
 pub use handler::{Gateway, GatewayHandler};
-pub use list_doubts::{Doubt, ListDoubts};
-pub use placement::{Choice, PlacementAnswer, PlacementPort, PlacementQuestion};
+pub use placement::{Choice, PlacementOutcome, PlacementPort, PlacementQuery};
 pub use ports::{
     AnswerHead, CallHead, ControlStore, ControlStoreError, Dialect, DutyError, DutyPort, ForwardHead, Prompt,
     PromptPart,
--- a/crates/beamwall-gateway/src/load.rs
+++ b/crates/beamwall-gateway/src/load.rs
@@ -10,7 +10,7 @@
 /// Weight of a newly told number of prompt tokens against those told before, in hundredths. A prompt is
 /// read in a fraction of the time between two tellings, so a single number says little of now; their
 /// average says how busy the back end usually is.
-const NEWEST_PERCENT: u64 = 30;
+const NEWEST_REPORT_PERCENT: u64 = 30;
 
 /// Open work at one back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -39,19 +39,19 @@
 struct State {
     own: HashMap<BackendId, OpenLoad>,
     /// Own requests that have begun to answer.
-    answering: HashMap<BackendId, u32>,
+    responding: HashMap<BackendId, u32>,
     peers: HashMap<Reporter, HashMap<BackendId, OpenLoad>>,
     /// Sums over all peers, so that a look-up does not grow with their number.
-    of_peers: HashMap<BackendId, OpenLoad>,
+    peer_sums: HashMap<BackendId, OpenLoad>,
 }
 
 impl State {
-    fn forget_peer(&mut self, peer: &Reporter) {
+    fn remove_peer(&mut self, peer: &Reporter) {
         for (backend, load) in self.peers.remove(peer).unwrap_or_default() {
-            if let Some(sum) = self.of_peers.get_mut(&backend) {
+            if let Some(sum) = self.peer_sums.get_mut(&backend) {
                 *sum -= load;
                 if *sum == OpenLoad::default() {
-                    self.of_peers.remove(&backend);
+                    self.peer_sums.remove(&backend);
                 }
             }
         }
@@ -60,38 +60,38 @@
 
 /// Open work by back end.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     state: Mutex<State>,
 }
 
-impl LoadBook {
+impl LoadTracker {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Opens one request; it counts until the guard is dropped.
-    pub fn open(self: &Arc<Self>, backend: &BackendId, prompt_tokens: u64) -> OpenWork {
+    pub fn open(self: &Arc<Self>, backend: &BackendId, prompt_tokens: u64) -> OpenRequestGuard {
         let mut state = self.lock();
         let load = state.own.entry(backend.clone()).or_default();
         *load += OpenLoad { requests: 1, prompt_tokens };
-        OpenWork { book: self.clone(), backend: backend.clone(), prompt_tokens, is_answering: false }
+        OpenRequestGuard { book: self.clone(), backend: backend.clone(), prompt_tokens, is_responding: false }
     }
 
     /// Requests of this node that a back end has begun to answer and not ended.
-    pub fn answering(&self, backend: &BackendId) -> u32 {
-        self.lock().answering.get(backend).copied().unwrap_or(0)
+    pub fn responding_requests(&self, backend: &BackendId) -> u32 {
+        self.lock().responding.get(backend).copied().unwrap_or(0)
     }
 
     /// Back ends that have begun to answer requests of this node and not ended.
-    pub fn back_ends_answering(&self) -> Vec<BackendId> {
-        self.lock().answering.keys().cloned().collect()
+    pub fn back_ends_responding(&self) -> Vec<BackendId> {
+        self.lock().responding.keys().cloned().collect()
     }
 
     /// Open work of all nodes at a back end.
     pub fn total(&self, backend: &BackendId) -> OpenLoad {
         let state = self.lock();
         let mut total = state.own.get(backend).copied().unwrap_or_default();
-        total += state.of_peers.get(backend).copied().unwrap_or_default();
+        total += state.peer_sums.get(backend).copied().unwrap_or_default();
         total
     }
 
@@ -106,24 +106,24 @@
         if let Some(before) = state.peers.get(peer) {
             average_prompt_tokens(before, &mut loads);
         }
-        state.forget_peer(peer);
+        state.remove_peer(peer);
         for (backend, load) in &loads {
-            *state.of_peers.entry(backend.clone()).or_default() += *load;
+            *state.peer_sums.entry(backend.clone()).or_default() += *load;
         }
         state.peers.insert(peer.clone(), loads);
     }
 
     /// Forgets a peer that is not alive.
-    pub fn forget_peer(&self, peer: &Reporter) {
-        self.lock().forget_peer(peer);
+    pub fn remove_peer(&self, peer: &Reporter) {
+        self.lock().remove_peer(peer);
     }
 
     /// Open work of this node and of all nodes that told their own, to be told to other zones.
     pub fn sum_of_nodes(&self) -> HashMap<BackendId, OpenLoad> {
         let state = self.lock();
         let mut sum = state.own.clone();
-        let of_nodes = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
-        for (backend, load) in of_nodes.flat_map(|(_, loads)| loads) {
+        let node_loads = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
+        for (backend, load) in node_loads.flat_map(|(_, loads)| loads) {
             *sum.entry(backend.clone()).or_default() += *load;
         }
         sum
@@ -132,25 +132,25 @@
 
 /// One open request at one back end.
 #[derive(Debug)]
-pub struct OpenWork {
-    book: Arc<LoadBook>,
+pub struct OpenRequestGuard {
+    book: Arc<LoadTracker>,
     backend: BackendId,
     prompt_tokens: u64,
-    is_answering: bool,
+    is_responding: bool,
 }
 
-impl OpenWork {
+impl OpenRequestGuard {
     /// Notes that the back end has read the prompt and answers.
-    pub fn begin_answer(&mut self) {
+    pub fn start_response(&mut self) {
         let book = self.book.clone();
         let mut state = book.lock();
-        self.note_read(&mut state);
-        if !std::mem::replace(&mut self.is_answering, true) {
-            *state.answering.entry(self.backend.clone()).or_default() += 1;
+        self.clear_prompt_tokens(&mut state);
+        if !std::mem::replace(&mut self.is_responding, true) {
+            *state.responding.entry(self.backend.clone()).or_default() += 1;
         }
     }
 
-    fn note_read(&mut self, state: &mut State) {
+    fn clear_prompt_tokens(&mut self, state: &mut State) {
         let read = std::mem::take(&mut self.prompt_tokens);
         if let Some(load) = state.own.get_mut(&self.backend) {
             load.prompt_tokens = load.prompt_tokens.saturating_sub(read);
@@ -158,13 +158,13 @@
     }
 }
 
-impl Drop for OpenWork {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let book = self.book.clone();
         let mut state = book.lock();
-        self.note_read(&mut state);
-        if self.is_answering {
-            count_down(&mut state.answering, &self.backend);
+        self.clear_prompt_tokens(&mut state);
+        if self.is_responding {
+            decrement(&mut state.responding, &self.backend);
         }
         if let Some(load) = state.own.get_mut(&self.backend) {
             load.requests = load.requests.saturating_sub(1);
@@ -176,18 +176,19 @@
 }
 
 /// Averages newly told prompt tokens with those before. Back ends without any are left out of tellings.
-fn average_prompt_tokens(before: &HashMap<BackendId, OpenLoad>, told: &mut HashMap<BackendId, OpenLoad>) {
+fn average_prompt_tokens(before: &HashMap<BackendId, OpenLoad>, reported: &mut HashMap<BackendId, OpenLoad>) {
     for backend in before.keys() {
-        told.entry(backend.clone()).or_default();
+        reported.entry(backend.clone()).or_default();
     }
-    for (backend, load) in told.iter_mut() {
+    for (backend, load) in reported.iter_mut() {
         let earlier = before.get(backend).map_or(0, |load| load.prompt_tokens);
-        load.prompt_tokens = (load.prompt_tokens * NEWEST_PERCENT + earlier * (100 - NEWEST_PERCENT)) / 100;
+        load.prompt_tokens =
+            (load.prompt_tokens * NEWEST_REPORT_PERCENT + earlier * (100 - NEWEST_REPORT_PERCENT)) / 100;
     }
-    told.retain(|_, load| *load != OpenLoad::default());
+    reported.retain(|_, load| *load != OpenLoad::default());
 }
 
-fn count_down(counts: &mut HashMap<BackendId, u32>, backend: &BackendId) {
+fn decrement(counts: &mut HashMap<BackendId, u32>, backend: &BackendId) {
     if let Some(count) = counts.get_mut(backend) {
         *count = count.saturating_sub(1);
         if *count == 0 {
--- a/crates/beamwall-gateway/src/losses.rs
+++ b/crates/beamwall-gateway/src/lost_responses.rs
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 /// Time for which a lost answer is remembered: a machine that falls silent is taken for dead and starts again within it.
-const REMEMBERED_FOR: Duration = Duration::from_secs(10);
+const LOSS_TTL: Duration = Duration::from_secs(10);
 /// Back ends of which lost answers are remembered.
-const MOST_BACK_ENDS: usize = 512;
+const MAX_BACK_ENDS: usize = 512;
 /// Lost answers that are remembered of one back end.
-const MOST_REQUESTS: usize = 256;
+const MAX_REQUESTS_PER_BACK_END: usize = 256;
 
 /// What is to be done about a lost answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,31 +31,31 @@
 
 /// Lost answers by back end.
 #[derive(Debug, Default)]
-pub struct LostAnswers {
-    back_ends: Mutex<HashMap<BackendId, LostAtOne>>,
+pub struct LostResponses {
+    back_ends: Mutex<HashMap<BackendId, BackendLosses>>,
 }
 
 #[derive(Debug)]
-struct LostAtOne {
+struct BackendLosses {
     requests: Vec<Fingerprint>,
     last: Instant,
     is_probed: bool,
     has_ended: bool,
 }
 
-impl LostAnswers {
-    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, LostAtOne>> {
+impl LostResponses {
+    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, BackendLosses>> {
         self.back_ends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a back end's answer to a request was lost.
     pub fn note(&self, backend: &BackendId, request: Fingerprint, now: Instant) -> NextStep {
         let mut back_ends = self.lock();
-        back_ends.retain(|_, lost| now.saturating_duration_since(lost.last) < REMEMBERED_FOR);
-        if back_ends.len() >= MOST_BACK_ENDS && !back_ends.contains_key(backend) {
+        back_ends.retain(|_, lost| now.saturating_duration_since(lost.last) < LOSS_TTL);
+        if back_ends.len() >= MAX_BACK_ENDS && !back_ends.contains_key(backend) {
             return NextStep::Wait;
         }
-        let lost = back_ends.entry(backend.clone()).or_insert_with(|| LostAtOne {
+        let lost = back_ends.entry(backend.clone()).or_insert_with(|| BackendLosses {
             requests: Vec::new(),
             last: now,
             is_probed: false,
@@ -65,7 +65,7 @@
         if lost.has_ended {
             return NextStep::Count;
         }
-        if lost.requests.len() < MOST_REQUESTS && !lost.requests.contains(&request) {
+        if lost.requests.len() < MAX_REQUESTS_PER_BACK_END && !lost.requests.contains(&request) {
             lost.requests.push(request);
         }
         if std::mem::replace(&mut lost.is_probed, true) { NextStep::Wait } else { NextStep::Probe }
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -21,16 +21,16 @@
 /// Nodes that must have failed to reach an engine before it is avoided for all. One alone may be cut off itself.
 const CONFIRMING_NODES: usize = 2;
 /// Time for which a report of an unreachable engine counts.
-const REPORTED_FOR: Duration = Duration::from_millis(500);
+const REPORT_TTL: Duration = Duration::from_millis(500);
 
 /// Times the expected time from which an answer counts as slow: of the usual ones some in 100 take twice as long.
 const SLOW_FACTOR: f64 = 2.5;
 /// Milliseconds beside: of short answers the way and the wait for a processor are a larger part.
-const SLOW_BESIDE_MS: f64 = 20.0;
+const SLOW_MARGIN_MS: f64 = 20.0;
 
 /// What a request needs of an engine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlacementQuestion {
+pub struct PlacementQuery {
     /// The node that sends the request.
     pub sender: NodeId,
     /// The service.
@@ -55,9 +55,9 @@
     pub enough_ms: Option<f64>,
 }
 
-impl PlacementQuestion {
+impl PlacementQuery {
     /// Whether a choice is good enough to be placed without asking another group.
-    pub fn is_enough(&self, choice: &Choice) -> bool {
+    pub fn is_good_enough(&self, choice: &Choice) -> bool {
         match (self.enough_ms, choice.expected_ms) {
             (Some(enough_ms), Some(expected_ms)) => expected_ms <= enough_ms,
             _ => true,
@@ -99,7 +99,7 @@
 
     /// Whether an answer that began after `took_ms` took several times as long as is usual in its service.
     pub fn is_slow(&self, took_ms: f64) -> bool {
-        self.usual_ms().is_some_and(|usual_ms| took_ms > usual_ms * SLOW_FACTOR + SLOW_BESIDE_MS)
+        self.usual_ms().is_some_and(|usual_ms| took_ms > usual_ms * SLOW_FACTOR + SLOW_MARGIN_MS)
     }
 
     /// What the time to the first event of a model request depends on there.
@@ -110,11 +110,11 @@
 
 /// What came of asking for a placement.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PlacementAnswer {
+pub enum PlacementOutcome {
     /// An engine was chosen.
     Chosen(Choice),
     /// This node places requests itself.
-    PlaceHere,
+    PlaceLocally,
     /// No answer came in time, or no engine was found.
     Unanswered,
 }
@@ -123,16 +123,16 @@
 #[async_trait]
 pub trait PlacementPort: Send + Sync + 'static {
     /// Asks for an engine.
-    async fn place(&self, question: &PlacementQuestion) -> PlacementAnswer;
+    async fn place(&self, question: &PlacementQuery) -> PlacementOutcome;
 }
 
 /// Time within which nodes tell the requests that were placed for them, in the mean. Until then only the node that
 /// placed them knows.
-const TOLD_WITHIN: Duration = Duration::from_millis(600);
+const REPORT_DELAY: Duration = Duration::from_millis(600);
 
 /// What this node placed at one engine.
 #[derive(Debug, Clone)]
-struct ReadingQueue {
+struct PrefillQueue {
     /// When it will have read the prompts, one after another.
     end: Instant,
     /// When the last ones were placed.
@@ -141,36 +141,36 @@
 
 /// What this node placed at each engine.
 #[derive(Debug, Default)]
-pub struct ReadingQueues {
-    queues: Mutex<HashMap<BackendId, ReadingQueue>>,
+pub struct PrefillQueues {
+    queues: Mutex<HashMap<BackendId, PrefillQueue>>,
 }
 
-impl ReadingQueues {
-    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, ReadingQueue>> {
+impl PrefillQueues {
+    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, PrefillQueue>> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Requests placed at an engine of which the nodes that send them have not told yet.
-    pub fn untold(&self, backend: &BackendId, now: Instant) -> u32 {
+    pub fn unreported_requests(&self, backend: &BackendId, now: Instant) -> u32 {
         let queues = self.lock();
-        let is_untold = |placed: &&Instant| now.saturating_duration_since(**placed) < TOLD_WITHIN;
-        queues.get(backend).map_or(0, |queue| queue.placed.iter().filter(is_untold).count() as u32)
+        let is_unreported = |placed: &&Instant| now.saturating_duration_since(**placed) < REPORT_DELAY;
+        queues.get(backend).map_or(0, |queue| queue.placed.iter().filter(is_unreported).count() as u32)
     }
 
     /// Time for which an engine still reads, in milliseconds.
-    pub fn left_ms(&self, backend: &BackendId, now: Instant) -> f64 {
+    pub fn prefill_left_ms(&self, backend: &BackendId, now: Instant) -> f64 {
         let end = self.lock().get(backend).map_or(now, |queue| queue.end);
         end.saturating_duration_since(now).as_secs_f64() * 1_000.0
     }
 
     /// Notes a prompt that was placed and takes `reading_ms` to read.
-    pub fn add(&self, backend: &BackendId, reading_ms: f64, now: Instant) {
-        let reading = Duration::from_secs_f64(reading_ms.max(0.0) / 1_000.0);
+    pub fn add(&self, backend: &BackendId, prefill_ms: f64, now: Instant) {
+        let reading = Duration::from_secs_f64(prefill_ms.max(0.0) / 1_000.0);
         let mut queues = self.lock();
-        let idle = || ReadingQueue { end: now, placed: VecDeque::new() };
-        let queue = queues.entry(backend.clone()).or_insert_with(idle);
+        let empty_queue = || PrefillQueue { end: now, placed: VecDeque::new() };
+        let queue = queues.entry(backend.clone()).or_insert_with(empty_queue);
         queue.end = queue.end.max(now) + reading;
-        queue.placed.retain(|placed| now.saturating_duration_since(*placed) < TOLD_WITHIN);
+        queue.placed.retain(|placed| now.saturating_duration_since(*placed) < REPORT_DELAY);
         queue.placed.push_back(now);
     }
 
@@ -204,7 +204,7 @@
     pub fn is_confirmed(&self, backend: &BackendId, now: Instant) -> bool {
         let reports = self.lock();
         let Some(senders) = reports.get(backend) else { return false };
-        let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < REPORTED_FOR;
+        let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < REPORT_TTL;
         senders.values().filter(is_recent).count() >= CONFIRMING_NODES
     }
 
--- a/crates/beamwall-gateway/src/placement_groups.rs
+++ b/crates/beamwall-gateway/src/placement_groups.rs
@@ -108,7 +108,7 @@
     /// share nothing.
     pub fn in_order(&self, prompt: &Prompt, random: u64) -> Vec<EngineGroup> {
         let count = self.groups.len() as u32;
-        let key = shared_key(prompt).unwrap_or(random).to_be_bytes();
+        let key = shared_prefix_key(prompt).unwrap_or(random).to_be_bytes();
         let score = |number: u32, engines: &[Arc<Backend>]| {
             rendezvous::weighted_score(&key, &number.to_be_bytes(), engines.len() as f64)
         };
@@ -122,7 +122,7 @@
 }
 
 /// What prompts with the same beginning have in common: the last part but the request's own.
-fn shared_key(prompt: &Prompt) -> Option<u64> {
+fn shared_prefix_key(prompt: &Prompt) -> Option<u64> {
     let position = prompt.parts.len().checked_sub(2)?;
     Some(prompt.parts[position].id)
 }
--- a/crates/beamwall-gateway/src/ports.rs
+++ b/crates/beamwall-gateway/src/ports.rs
@@ -38,7 +38,7 @@
     /// The caller's identifier of this try.
     pub request_id: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The key.
     pub key: Option<String>,
     /// The prompt, for model engines.
--- a/crates/beamwall-gateway/src/prefix.rs
+++ b/crates/beamwall-gateway/src/prefix_cache.rs
@@ -13,9 +13,9 @@
 use crate::ports::{Prompt, PromptPart};
 
 /// Time after its last use for which a part is believed kept.
-const BELIEVED_FOR: Duration = Duration::from_secs(30);
+const CACHED_PART_TTL: Duration = Duration::from_secs(30);
 /// Parts remembered in all; when there are more, the ones unused longest are dropped.
-const PART_LIMIT: usize = 16_384;
+const MAX_PARTS: usize = 16_384;
 
 #[derive(Debug, Default)]
 struct State {
@@ -24,61 +24,61 @@
 
 /// Where prompt parts are believed kept.
 #[derive(Debug, Default)]
-pub struct PrefixBelief {
+pub struct PrefixCacheIndex {
     state: Mutex<State>,
 }
 
-impl PrefixBelief {
+impl PrefixCacheIndex {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tokens of a prompt that a back end is believed to keep: of the parts in order, those up to
     /// the first that it lacks.
-    pub fn kept_tokens(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> u64 {
+    pub fn estimated_cached_tokens(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> u64 {
         let state = self.lock();
-        let is_kept = |part: &&PromptPart| {
-            let used = state.parts.get(&part.id).and_then(|engines| engines.get(backend));
-            used.is_some_and(|used| now.saturating_duration_since(*used) < BELIEVED_FOR)
+        let is_cached = |part: &&PromptPart| {
+            let used = state.parts.get(&part.id).and_then(|back_ends| back_ends.get(backend));
+            used.is_some_and(|used| now.saturating_duration_since(*used) < CACHED_PART_TTL)
         };
-        prompt.parts.iter().take_while(is_kept).map(|part| u64::from(part.tokens)).sum()
+        prompt.parts.iter().take_while(is_cached).map(|part| u64::from(part.tokens)).sum()
     }
 
     /// Whether a back end is believed to keep the last shared part of a prompt.
-    pub fn keeps_any(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> bool {
+    pub fn caches_shared_part(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> bool {
         let Some(position) = prompt.parts.len().checked_sub(2) else { return false };
         let state = self.lock();
-        let used = state.parts.get(&prompt.parts[position].id).and_then(|engines| engines.get(backend));
-        used.is_some_and(|used| now.saturating_duration_since(*used) < BELIEVED_FOR)
+        let used = state.parts.get(&prompt.parts[position].id).and_then(|back_ends| back_ends.get(backend));
+        used.is_some_and(|used| now.saturating_duration_since(*used) < CACHED_PART_TTL)
     }
 
     /// Notes that a back end has read a prompt.
-    pub fn note_read(&self, backend: &BackendId, prompt: &Prompt, now: Instant) {
+    pub fn note_prefill(&self, backend: &BackendId, prompt: &Prompt, now: Instant) {
         let mut state = self.lock();
         for part in &prompt.parts {
             state.parts.entry(part.id).or_default().insert(backend.clone(), now);
         }
-        if state.parts.len() > PART_LIMIT {
-            drop_older_half(&mut state);
+        if state.parts.len() > MAX_PARTS {
+            evict_older_half(&mut state);
         }
     }
 
     /// Forgets back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         let mut state = self.lock();
-        for engines in state.parts.values_mut() {
-            engines.retain(|backend, _| is_known(backend));
+        for back_ends in state.parts.values_mut() {
+            back_ends.retain(|backend, _| is_known(backend));
         }
-        state.parts.retain(|_, engines| !engines.is_empty());
+        state.parts.retain(|_, back_ends| !back_ends.is_empty());
     }
 }
 
-fn drop_older_half(state: &mut State) {
-    let newest = |engines: &HashMap<BackendId, Instant>| engines.values().max().copied();
+fn evict_older_half(state: &mut State) {
+    let newest = |back_ends: &HashMap<BackendId, Instant>| back_ends.values().max().copied();
     let mut uses: Vec<Instant> = state.parts.values().filter_map(newest).collect();
     uses.sort_unstable();
     let Some(median) = uses.get(uses.len() / 2).copied() else { return };
-    state.parts.retain(|_, engines| newest(engines).is_some_and(|used| used > median));
+    state.parts.retain(|_, back_ends| newest(back_ends).is_some_and(|used| used > median));
 }
 
 /// Shared tokens of a prompt: all parts but the last, which is the request's own.
@@ -88,7 +88,10 @@
 }
 
 /// The back end that all nodes prefer for a prompt: by rendezvous hash of its last shared part.
-pub fn home<'a>(prompt: &Prompt, backends: impl IntoIterator<Item = &'a BackendId>) -> Option<&'a BackendId> {
+pub fn preferred_back_end<'a>(
+    prompt: &Prompt,
+    backends: impl IntoIterator<Item = &'a BackendId>,
+) -> Option<&'a BackendId> {
     let shared = prompt.parts.len().checked_sub(2)?;
     let key = prompt.parts[shared].id.to_be_bytes();
     backends.into_iter().max_by_key(|backend| rendezvous::weight(&key, backend.as_str()))
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -18,24 +18,24 @@
 
 use crate::directory::Directory;
 use crate::fleet_clock::FleetClock;
-use crate::losses::{LostAnswers, NextStep};
+use crate::lost_responses::{LostResponses, NextStep};
 
 /// Pauses before each look at whether a back end that lost an answer still takes connections. A process that ends may close
 /// its listener some milliseconds after its connections.
-const PROBE_PAUSES: [Duration; 3] =
+const PROBE_DELAYS: [Duration; 3] =
     [Duration::from_millis(5), Duration::from_millis(50), Duration::from_millis(200)];
 /// Time between two looks whether it is known that a back end ended.
-const PROBE_CHECK_PERIOD: Duration = Duration::from_millis(5);
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Least time between two questions of this node for trials: each costs two calls to the store.
-const TRIAL_QUESTION_PAUSE: Duration = Duration::from_millis(250);
+const MIN_TRIAL_INTERVAL: Duration = Duration::from_millis(250);
 /// When a request may come back whose trial could not be granted now.
-const TRIAL_RETRY: Duration = Duration::from_secs(1);
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Grants trials of held requests.
 #[async_trait]
 pub trait TrialPort: Send + Sync + 'static {
     /// Takes the right to the trial of this number of a request. Of all nodes and lives of nodes one gets it.
-    async fn take(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool;
+    async fn claim_trial(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool;
 }
 
 /// A back end, as far as its end concerns requests.
@@ -50,12 +50,12 @@
 }
 
 /// The back ends that a node knows.
-pub trait ListedBackends: Send + Sync + 'static {
+pub trait BackendLookup: Send + Sync + 'static {
     /// One of them; `None` where it is not listed any more.
     fn find(&self, backend: &BackendId) -> Option<ListedBackend>;
 }
 
-impl ListedBackends for ArcSwap<Directory> {
+impl BackendLookup for ArcSwap<Directory> {
     fn find(&self, backend: &BackendId) -> Option<ListedBackend> {
         let directory = self.load();
         let listed = directory.get(backend)?;
@@ -68,14 +68,14 @@
     /// What is known of them.
     pub book: Arc<QuarantineBook>,
     /// Told when peers should hear what this node saw.
-    pub news: Notify,
-    losses: LostAnswers,
+    pub peer_notify: Notify,
+    lost_responses: LostResponses,
     pool: Pool,
-    backends: Arc<dyn ListedBackends>,
+    backends: Arc<dyn BackendLookup>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
     /// When this node may ask for a trial.
-    trial_questions: Throttle,
+    trial_throttle: Throttle,
 }
 
 impl Quarantine {
@@ -83,13 +83,13 @@
     pub fn new(
         book: Arc<QuarantineBook>,
         pool: Pool,
-        backends: Arc<dyn ListedBackends>,
+        backends: Arc<dyn BackendLookup>,
         clock: Arc<FleetClock>,
         trials: Arc<dyn TrialPort>,
     ) -> Self {
-        let (news, losses) = (Notify::new(), LostAnswers::default());
-        let trial_questions = Throttle::default();
-        Self { book, news, losses, pool, backends, clock, trials, trial_questions }
+        let (peer_notify, lost_responses) = (Notify::new(), LostResponses::default());
+        let trial_throttle = Throttle::default();
+        Self { book, peer_notify, lost_responses, pool, backends, clock, trials, trial_throttle }
     }
 
     /// The time by which evidence is told.
@@ -107,24 +107,24 @@
             Standing::Free => Ok(Admission::Usual),
             Standing::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
             Standing::TrialDue { number, endings, is_in_doubt } => {
-                if self.take_trial(request, number).await {
+                if self.try_claim_trial(request, number).await {
                     return Ok(Admission::Trial);
                 }
-                Err(HeldRequest { endings, retry_after: is_in_doubt.then_some(TRIAL_RETRY) })
+                Err(HeldRequest { endings, retry_after: is_in_doubt.then_some(TRIAL_RETRY_AFTER) })
             }
         }
     }
 
-    async fn take_trial(&self, request: &Fingerprint, number: u32) -> bool {
+    async fn try_claim_trial(&self, request: &Fingerprint, number: u32) -> bool {
         let now_ms = self.now_ms();
-        if !self.trial_questions.admit(TRIAL_QUESTION_PAUSE)
-            || !self.trials.take(request, number, now_ms).await
+        if !self.trial_throttle.admit(MIN_TRIAL_INTERVAL)
+            || !self.trials.claim_trial(request, number, now_ms).await
         {
             return false;
         }
         emit(&TrialGranted { fingerprint: request.to_string(), number: number.to_string() });
         self.book.note_trial(request, number, now_ms);
-        self.news.notify_one();
+        self.peer_notify.notify_one();
         true
     }
 
@@ -136,7 +136,7 @@
     /// Notes that a back end answered a request whole, and so lives.
     pub fn note_completed(&self, request: &Fingerprint) {
         if self.book.is_accused(request) && self.book.note_completion(request, self.now_ms()) {
-            self.tell();
+            self.publish_changes();
         }
     }
 
@@ -144,8 +144,8 @@
     pub fn note_lost(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
         // One that has announced that it leaves, or is not listed any more, ends on its own account.
         let Some(listed) = self.backends.find(backend).filter(|listed| !listed.is_leaving) else { return };
-        match self.losses.note(backend, request, Instant::now()) {
-            NextStep::Count => self.count(backend, vec![request]),
+        match self.lost_responses.note(backend, request, Instant::now()) {
+            NextStep::Count => self.record_termination(backend, vec![request]),
             NextStep::Probe => {
                 tokio::spawn(self.clone().probe(listed));
             }
@@ -158,26 +158,26 @@
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
         let is_accused = self.book.is_accused(&request);
         self.note_lost(request, backend);
-        while is_accused && self.losses.is_probed(backend) && !self.is_held(&request) {
-            tokio::time::sleep(PROBE_CHECK_PERIOD).await;
+        while is_accused && self.lost_responses.is_probed(backend) && !self.is_held(&request) {
+            tokio::time::sleep(PROBE_POLL_INTERVAL).await;
         }
     }
 
     /// Finds out whether a back end that lost an answer has ended: then it refuses connections.
     async fn probe(self: Arc<Self>, backend: ListedBackend) {
-        for pause in PROBE_PAUSES {
+        for pause in PROBE_DELAYS {
             tokio::time::sleep(pause).await;
             if self.pool.probe(backend.address).await == Reachability::Refuses {
                 self.note_ended(&backend.id);
                 break;
             }
         }
-        self.losses.end_probe(&backend.id);
+        self.lost_responses.end_probe(&backend.id);
     }
 
     /// Notes that a back end has ended: it refuses connections, or lives again under its name.
     pub fn note_ended(&self, backend: &BackendId) {
-        let open = self.losses.end(backend);
+        let open = self.lost_responses.end(backend);
         // One that has announced meanwhile that it leaves ends on its own account.
         if self.backends.find(backend).is_some_and(|listed| listed.is_leaving) {
             return;
@@ -185,23 +185,23 @@
         if open.is_empty() {
             self.book.note_other_end(backend, self.now_ms());
         } else {
-            self.count(backend, open);
+            self.record_termination(backend, open);
         }
     }
 
     /// Notes the back ends of an earlier list that live again under their names in a later one.
-    pub fn compare_lives(&self, before: &Directory, after: &Directory) {
+    pub fn detect_restarts(&self, before: &Directory, after: &Directory) {
         // One that has announced that it leaves ends on its own account.
-        let ended = before.backends().filter(|known| !known.draining && after.knows_later_life(known));
+        let ended = before.backends().filter(|known| !known.draining && after.has_newer_generation(known));
         for backend in ended {
             self.note_ended(&backend.id);
         }
     }
 
     /// Waits until this node has seen something that the others have not been told, and gives it.
-    pub async fn next_untold(&self) -> Evidence {
+    pub async fn next_unpublished(&self) -> Evidence {
         loop {
-            self.news.notified().await;
+            self.peer_notify.notified().await;
             let untold = self.book.take_untold();
             if !untold.is_empty() {
                 return untold;
@@ -210,7 +210,7 @@
     }
 
     /// Takes what others tell; gives what of it was new here.
-    pub fn hear(&self, evidence: Evidence) -> Evidence {
+    pub fn merge_evidence(&self, evidence: Evidence) -> Evidence {
         let new = self.book.hear(evidence, self.now_ms());
         self.log_changes();
         new
@@ -222,16 +222,16 @@
         self.log_changes();
     }
 
-    fn count(&self, backend: &BackendId, open: Vec<Fingerprint>) {
+    fn record_termination(&self, backend: &BackendId, open: Vec<Fingerprint>) {
         let requests: Vec<String> = open.iter().map(Fingerprint::to_string).collect();
         emit(&BackendEnded { backend: backend.to_string(), open: requests.join(",") });
         self.book.note_ending(backend, open, self.now_ms());
-        self.tell();
+        self.publish_changes();
     }
 
-    fn tell(&self) {
+    fn publish_changes(&self) {
         self.log_changes();
-        self.news.notify_one();
+        self.peer_notify.notify_one();
     }
 
     /// Logs which requests are held from now on, and which no longer.
--- a/crates/beamwall-gateway/src/refusal.rs
+++ b/crates/beamwall-gateway/src/refusal.rs
@@ -12,7 +12,7 @@
 use crate::quota::QuotaExceeded;
 
 /// When a caller may come back after a refusal for a passing reason.
-const SOON: Duration = Duration::from_millis(100);
+const TRANSIENT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Why a request got no answer from a back end.
 #[derive(Debug, Clone, PartialEq)]
@@ -75,7 +75,7 @@
             Self::QuotaExceeded(exceeded) => Some(exceeded.retry_after),
             Self::Unservable(unservable) => Some(unservable.retry_after),
             Self::Held(held) => held.retry_after,
-            Self::NotReady | Self::NotRun(_) => Some(SOON),
+            Self::NotReady | Self::NotRun(_) => Some(TRANSIENT_RETRY_AFTER),
             _ => None,
         }
     }
--- a/crates/beamwall-gateway/src/retries.rs
+++ b/crates/beamwall-gateway/src/retries.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// Parts in which the requests of a window are counted.
-const PARTS_OF_WINDOW: u32 = 10;
+const WINDOW_BUCKETS: u32 = 10;
 
 /// What all nodes together may retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,7 +49,7 @@
 }
 
 impl ServiceRetries {
-    fn limit_saved(&mut self, allowance: &RetryAllowance, nodes: usize, now: Instant) {
+    fn update_saved_limit(&mut self, allowance: &RetryAllowance, nodes: usize, now: Instant) {
         let recent = self.recent.count(now, allowance.window);
         let share = f64::from(recent) * f64::from(allowance.saved_percent) / 100.0;
         self.budget.set_most_saved(share + allowance.extra / nodes as f64);
@@ -104,10 +104,11 @@
     ) -> T {
         let mut state = self.lock();
         let State { nodes, services } = &mut *state;
-        let part = self.allowance.extra / *nodes as f64;
-        let new = || ServiceRetries { budget: RetryBudget::saving(part), recent: RecentRequests::default() };
+        let node_share = self.allowance.extra / *nodes as f64;
+        let new =
+            || ServiceRetries { budget: RetryBudget::saving(node_share), recent: RecentRequests::default() };
         let retries = services.entry(service.clone()).or_insert_with(new);
-        retries.limit_saved(&self.allowance, *nodes, now);
+        retries.update_saved_limit(&self.allowance, *nodes, now);
         act(retries)
     }
 
@@ -144,23 +145,23 @@
 /// Requests counted in parts of a window: when each part began, and its requests.
 #[derive(Debug, Default)]
 struct RecentRequests {
-    parts: VecDeque<(Instant, u32)>,
+    buckets: VecDeque<(Instant, u32)>,
 }
 
 impl RecentRequests {
     fn note(&mut self, now: Instant, window: Duration) {
-        let part = window / PARTS_OF_WINDOW;
-        match self.parts.back_mut() {
-            Some((begun, count)) if now.saturating_duration_since(*begun) < part => *count += 1,
-            _ => self.parts.push_back((now, 1)),
+        let bucket_length = window / WINDOW_BUCKETS;
+        match self.buckets.back_mut() {
+            Some((begun, count)) if now.saturating_duration_since(*begun) < bucket_length => *count += 1,
+            _ => self.buckets.push_back((now, 1)),
         }
     }
 
     /// Requests of the last window.
     fn count(&mut self, now: Instant, window: Duration) -> u32 {
-        while self.parts.front().is_some_and(|(begun, _)| now.saturating_duration_since(*begun) > window) {
-            self.parts.pop_front();
+        while self.buckets.front().is_some_and(|(begun, _)| now.saturating_duration_since(*begun) > window) {
+            self.buckets.pop_front();
         }
-        self.parts.iter().map(|(_, count)| count).sum()
+        self.buckets.iter().map(|(_, count)| count).sum()
     }
 }
--- a/crates/beamwall-gateway/src/scaling.rs
+++ b/crates/beamwall-gateway/src/scaling.rs
@@ -21,11 +21,11 @@
     /// The zone.
     pub zone: ZoneName,
     /// Lasting back ends that take requests.
-    pub lasting_usable: u32,
+    pub on_demand_usable: u32,
     /// Reclaimable back ends that take requests.
     pub reclaimable_usable: u32,
     /// Lasting back ends that are ordered.
-    pub lasting_ordered: u32,
+    pub on_demand_ordered: u32,
     /// Whether the last order of reclaimable ones was refused.
     pub is_exhausted: bool,
 }
@@ -55,22 +55,22 @@
     let needed = inputs.needed.usual.max(inputs.floor);
     if inputs.limits.reclaimable_price.is_none() {
         let parts = divide(needed.saturating_sub(lowest * zones.len() as u32), zones.len());
-        let lasting = |(zone, part): (&&ZoneSupply, u32)| order(inputs, zone, false, lowest + part);
-        return zones.iter().zip(parts).map(lasting).collect();
+        let on_demand = |(zone, part): (&&ZoneSupply, u32)| order(inputs, zone, false, lowest + part);
+        return zones.iter().zip(parts).map(on_demand).collect();
     }
-    let bases = lasting_bases(zones.len());
+    let bases = on_demand_bases(zones.len());
     let base = bases.iter().sum();
     let are_scarce = are_scarce(&zones, &bases);
-    let missing = if are_scarce { missing_stand_ins(inputs, base) } else { 0 };
-    let stand_ins = divide_stand_ins(&zones, &bases, missing, lowest);
+    let missing = if are_scarce { missing_substitutes(inputs, base) } else { 0 };
+    let substitutes = divide_substitutes(&zones, &bases, missing, lowest);
     let reclaimable = divide_reclaimable(&zones, needed.saturating_sub(base), are_scarce);
-    let both = zones.iter().zip(bases).zip(stand_ins.into_iter().zip(reclaimable));
-    both.flat_map(|((zone, base), (stand_ins, reclaimable))| {
-        let lasting = (base + stand_ins).min(inputs.limits.maximum.max(lowest));
-        let room = inputs.limits.maximum.saturating_sub(lasting);
+    let both = zones.iter().zip(bases).zip(substitutes.into_iter().zip(reclaimable));
+    both.flat_map(|((zone, base), (substitutes, reclaimable))| {
+        let on_demand = (base + substitutes).min(inputs.limits.maximum.max(lowest));
+        let room = inputs.limits.maximum.saturating_sub(on_demand);
         let least = RECLAIMABLE_HEADROOM.max(lowest.saturating_sub(base));
         let reclaimable = reclaimable.max(least).min(room);
-        [order(inputs, zone, false, lasting), order(inputs, zone, true, reclaimable)]
+        [order(inputs, zone, false, on_demand), order(inputs, zone, true, reclaimable)]
     })
     .collect()
 }
@@ -86,17 +86,17 @@
 
 /// Whether reclaimable back ends are scarce: a zone can't get any, or lasting ones still stand in for them.
 fn are_scarce(zones: &[&ZoneSupply], bases: &[u32]) -> bool {
-    zones.iter().zip(bases).any(|(zone, base)| zone.is_exhausted || zone.lasting_ordered > *base)
+    zones.iter().zip(bases).any(|(zone, base)| zone.is_exhausted || zone.on_demand_ordered > *base)
 }
 
 /// Lasting back ends that each zone keeps beside reclaimable ones, cheapest zone first: one in all.
-fn lasting_bases(zones: usize) -> Vec<u32> {
+fn on_demand_bases(zones: usize) -> Vec<u32> {
     (0..zones).map(|position| u32::from(position == 0)).collect()
 }
 
 /// Divides stand-ins evenly; a zone that has lost its reclaimable ones and can't get any keeps its minimum, since it
 /// may be cut off from the others next.
-fn divide_stand_ins(zones: &[&ZoneSupply], bases: &[u32], missing: u32, lowest: u32) -> Vec<u32> {
+fn divide_substitutes(zones: &[&ZoneSupply], bases: &[u32], missing: u32, lowest: u32) -> Vec<u32> {
     let least = |zone: &ZoneSupply, base: u32| {
         let is_empty = zone.is_exhausted && zone.reclaimable_usable == 0;
         if is_empty { lowest.saturating_sub(base) } else { 0 }
@@ -108,14 +108,14 @@
 /// Lasting back ends beyond the base that the work needs while reclaimable ones are scarce. While a zone
 /// can't get any, they do the work also when the zone that holds the most loses them next; later they
 /// stay until reclaimable ones take requests.
-fn missing_stand_ins(inputs: &ScalingInputs<'_>, base: u32) -> u32 {
-    let held = || inputs.zones.iter().map(|supply| supply.reclaimable_usable);
-    let present = base + held().sum::<u32>();
+fn missing_substitutes(inputs: &ScalingInputs<'_>, base: u32) -> u32 {
+    let usable_by_zone = || inputs.zones.iter().map(|supply| supply.reclaimable_usable);
+    let present = base + usable_by_zone().sum::<u32>();
     let now = inputs.needed.standing_in.saturating_sub(present);
     if !inputs.zones.iter().any(|supply| supply.is_exhausted) {
         return now;
     }
-    let left = present - held().max().unwrap_or(0);
+    let left = present - usable_by_zone().max().unwrap_or(0);
     now.max(inputs.needed.after_loss.saturating_sub(left))
 }
 
@@ -142,7 +142,7 @@
 
 /// An order that was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GivenOrder {
+pub struct SubmittedOrder {
     /// How many were ordered.
     pub wanted: u32,
     /// When.
@@ -151,7 +151,7 @@
     most_usable: u32,
 }
 
-impl GivenOrder {
+impl SubmittedOrder {
     /// An order given now.
     pub fn new(wanted: u32, at: Instant) -> Self {
         Self { wanted, at, most_usable: 0 }
@@ -164,11 +164,15 @@
 }
 
 /// Time beyond the boot time after which ordered back ends that are missing are ordered again.
-const REPEAT_MARGIN: Duration = Duration::from_secs(2);
+const REORDER_MARGIN: Duration = Duration::from_secs(2);
 
 /// Notes what takes requests now of what was ordered for a service.
-pub fn note_usable(given: &mut BTreeMap<OrderKey, GivenOrder>, service: &ServiceName, zones: &[ZoneSupply]) {
-    for (key, order) in given.iter_mut().filter(|(key, _)| key.service == *service) {
+pub fn note_usable(
+    submitted: &mut BTreeMap<OrderKey, SubmittedOrder>,
+    service: &ServiceName,
+    zones: &[ZoneSupply],
+) {
+    for (key, order) in submitted.iter_mut().filter(|(key, _)| key.service == *service) {
         order.most_usable = order.most_usable.max(usable(zones, key));
     }
 }
@@ -176,18 +180,18 @@
 /// The orders of `plan` that are due: those that differ from what was last ordered, and those whose back ends are missing although
 /// they had time to boot, or because they crashed or were taken away. These are ordered again at once: if none can be had
 /// now, others are ordered in their place before more are taken.
-pub fn due(
+pub fn orders_due(
     plan: &[CapacityOrder],
-    given: &BTreeMap<OrderKey, GivenOrder>,
+    submitted: &BTreeMap<OrderKey, SubmittedOrder>,
     inputs: &ScalingInputs<'_>,
     now: Instant,
 ) -> Vec<CapacityOrder> {
-    let patience = Duration::from_millis(inputs.limits.boot_ms) + REPEAT_MARGIN;
+    let reorder_delay = Duration::from_millis(inputs.limits.boot_ms) + REORDER_MARGIN;
     let is_due = |order: &&CapacityOrder| {
         let key = OrderKey::of(order);
-        let Some(last) = given.get(&key).filter(|last| last.wanted == order.wanted) else { return true };
+        let Some(last) = submitted.get(&key).filter(|last| last.wanted == order.wanted) else { return true };
         let usable = usable(inputs.zones, &key);
-        let is_late = usable < order.wanted && now.duration_since(last.at) >= patience;
+        let is_late = usable < order.wanted && now.duration_since(last.at) >= reorder_delay;
         is_late || last.has_lost(usable)
     };
     plan.iter().filter(is_due).cloned().collect()
@@ -196,7 +200,7 @@
 /// Back ends of one kind that take requests.
 fn usable(zones: &[ZoneSupply], key: &OrderKey) -> u32 {
     let Some(supply) = zones.iter().find(|supply| supply.zone == key.zone) else { return 0 };
-    if key.reclaimable { supply.reclaimable_usable } else { supply.lasting_usable }
+    if key.reclaimable { supply.reclaimable_usable } else { supply.on_demand_usable }
 }
 
 /// What an order is about.
--- a/crates/beamwall-gateway/src/startup.rs
+++ b/crates/beamwall-gateway/src/startup.rs
@@ -8,17 +8,18 @@
 use tokio::time::Instant;
 
 /// Longest wait: a request that is held for long and refused then is worse off than one that is refused at once.
-pub const LONGEST_WAIT: Duration = Duration::from_millis(200);
+pub const MAX_READY_WAIT: Duration = Duration::from_millis(200);
 /// Part of a caller's patience that it waits at most: the objective, a fraction of it, is not known without a policy.
-const PART_OF_PATIENCE: u32 = 16;
+const CALLER_TIMEOUT_DIVISOR: u32 = 16;
 /// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `is_known`, as long as a caller of this `patience` may be held without knowing whether it can be served.
-pub async fn wait_known(is_known: impl Fn() -> bool, patience: Option<Duration>) {
-    let longest = patience.map_or(LONGEST_WAIT, |patience| LONGEST_WAIT.min(patience / PART_OF_PATIENCE));
-    let until = Instant::now() + longest;
-    while !is_known() && Instant::now() < until {
-        tokio::time::sleep(LOOK_PERIOD).await;
+pub async fn wait_until_ready(is_known: impl Fn() -> bool, caller_timeout: Option<Duration>) {
+    let max_wait = caller_timeout
+        .map_or(MAX_READY_WAIT, |caller_timeout| MAX_READY_WAIT.min(caller_timeout / CALLER_TIMEOUT_DIVISOR));
+    let wait_deadline = Instant::now() + max_wait;
+    while !is_known() && Instant::now() < wait_deadline {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/beamwall-gateway/src/cut_zones.rs
+++ b/crates/beamwall-gateway/src/unreachable_zones.rs
@@ -12,16 +12,16 @@
 use tokio::time::Instant;
 
 use crate::directory::Directory;
-use crate::health::HealthBook;
+use crate::health::HealthTracker;
 use crate::placement::UnreachableReports;
 
 /// Zones from which this node seems to be cut off.
 #[derive(Debug, Default)]
-pub struct CutZones {
+pub struct UnreachableZones {
     zones: ArcSwap<HashSet<ZoneName>>,
 }
 
-impl CutZones {
+impl UnreachableZones {
     /// Whether a zone seems to be cut off.
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.zones.load().contains(zone)
@@ -33,7 +33,7 @@
         &self,
         silent: &HashSet<ZoneName>,
         directory: &Directory,
-        health: &HealthBook,
+        health: &HealthTracker,
         reports: &UnreachableReports,
         now: Instant,
     ) -> Vec<ZoneName> {
@@ -44,12 +44,12 @@
                 health.view(&backend.id, now).unreachable || reports.is_confirmed(&backend.id, now)
             })
         };
-        let is_cut = |zone: &&ZoneName| before.contains(*zone) || is_unreachable(zone);
-        let cut: HashSet<ZoneName> = silent.iter().filter(is_cut).cloned().collect();
-        let found: Vec<ZoneName> = cut.difference(&before).cloned().collect();
-        if cut != **before {
-            self.zones.store(cut.into());
+        let is_cut_off = |zone: &&ZoneName| before.contains(*zone) || is_unreachable(zone);
+        let unreachable_now: HashSet<ZoneName> = silent.iter().filter(is_cut_off).cloned().collect();
+        let newly_unreachable: Vec<ZoneName> = unreachable_now.difference(&before).cloned().collect();
+        if unreachable_now != **before {
+            self.zones.store(unreachable_now.into());
         }
-        found
+        newly_unreachable
     }
 }
--- a/crates/beamwall-gateway/src/usage.rs
+++ b/crates/beamwall-gateway/src/usage.rs
@@ -34,7 +34,7 @@
 
 /// What somebody who reports wrote down: the sums of some windows, and the lives that they are of.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CarriedUsage {
+pub struct UsageCheckpoint {
     /// The lives, as short marks: 300 of them take some 3 kB.
     pub lives: BTreeSet<u32>,
     /// The sums.
@@ -46,27 +46,27 @@
 #[derive(Debug, Default)]
 struct State {
     own: Windows,
-    others: HashMap<(NodeId, u64), Windows>,
+    peers: HashMap<(NodeId, u64), Windows>,
     zones: HashMap<ZoneName, Windows>,
-    carried: Windows,
-    carried_lives: BTreeSet<u32>,
+    checkpointed: Windows,
+    checkpointed_generations: BTreeSet<u32>,
     /// Rises with each count that grows.
     changes: u64,
 }
 
 impl State {
     /// Forgets lives that have counted nothing for as many windows as are kept: else each restart of a node would stay.
-    fn forget_old_lives(&mut self) {
+    fn remove_stale_generations(&mut self) {
         let newest_of = |windows: &Windows| windows.keys().next_back().copied();
-        let newest = self.others.values().filter_map(newest_of).max().unwrap_or(0);
+        let newest = self.peers.values().filter_map(newest_of).max().unwrap_or(0);
         let oldest = newest.saturating_sub(KEPT_WINDOWS);
-        self.others.retain(|_, windows| newest_of(windows).is_some_and(|newest| newest >= oldest));
+        self.peers.retain(|_, windows| newest_of(windows).is_some_and(|newest| newest >= oldest));
     }
 }
 
 /// The mark of a node's life.
-fn mark(node: &NodeId, life: u64) -> u32 {
-    xxh3_64(format!("{node}/{life}").as_bytes()) as u32
+fn generation_hash(node: &NodeId, generation: u64) -> u32 {
+    xxh3_64(format!("{node}/{generation}").as_bytes()) as u32
 }
 
 /// The counts of all nodes that are known here.
@@ -74,19 +74,19 @@
 pub struct UsageLedger {
     window_length: Duration,
     /// The mark of this life.
-    own_mark: u32,
+    own_hash: u32,
     state: Mutex<State>,
 }
 
 impl UsageLedger {
     /// An empty ledger with windows of `window_length`.
     pub fn new(window_length: Duration) -> Self {
-        Self { window_length, own_mark: 0, state: Mutex::default() }
+        Self { window_length, own_hash: 0, state: Mutex::default() }
     }
 
     /// The same as the ledger of one life of a node.
-    pub fn of_life(self, node: &NodeId, life: u64) -> Self {
-        Self { own_mark: mark(node, life), ..self }
+    pub fn for_generation(self, node: &NodeId, generation: u64) -> Self {
+        Self { own_hash: generation_hash(node, generation), ..self }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -115,42 +115,43 @@
     }
 
     /// Takes what one life of another node counted; counts only grow.
-    pub fn merge(&self, node: &NodeId, incarnation: u64, told: Vec<WindowCounts>) {
+    pub fn merge(&self, node: &NodeId, incarnation: u64, reported: Vec<WindowCounts>) {
         let mut state = self.lock();
-        let has_grown = raise(state.others.entry((node.clone(), incarnation)).or_default(), told);
+        let has_grown =
+            raise_to_reported(state.peers.entry((node.clone(), incarnation)).or_default(), reported);
         state.changes += u64::from(has_grown);
-        state.forget_old_lives();
+        state.remove_stale_generations();
     }
 
     /// Takes the sums that a relay of another zone told.
-    pub fn merge_zone(&self, zone: &ZoneName, told: Vec<WindowCounts>) {
+    pub fn merge_zone(&self, zone: &ZoneName, reported: Vec<WindowCounts>) {
         let mut state = self.lock();
-        let has_grown = raise(state.zones.entry(zone.clone()).or_default(), told);
+        let has_grown = raise_to_reported(state.zones.entry(zone.clone()).or_default(), reported);
         state.changes += u64::from(has_grown);
     }
 
     /// Forgets all lives of a node whose counts come with its zone's sums from now on.
-    pub fn forget_node(&self, node: &NodeId) {
-        self.lock().others.retain(|(known, _), _| known != node);
+    pub fn remove_node_counts(&self, node: &NodeId) {
+        self.lock().peers.retain(|(known, _), _| known != node);
     }
 
     /// What others' lives counted that are not forgotten yet: the node, its life and the counts in its newest windows, at
     /// most `windows`.
-    pub fn lives(&self, windows: usize) -> Vec<(NodeId, u64, Vec<WindowCounts>)> {
+    pub fn generations(&self, windows: usize) -> Vec<(NodeId, u64, Vec<WindowCounts>)> {
         let state = self.lock();
-        let life = |((node, life), counted): (&(NodeId, u64), &Windows)| {
-            (node.clone(), *life, newest(counted, windows))
+        let generation = |((node, generation), counted): (&(NodeId, u64), &Windows)| {
+            (node.clone(), *generation, newest(counted, windows))
         };
-        state.others.iter().map(life).collect()
+        state.peers.iter().map(generation).collect()
     }
 
     /// The sums of this node and all nodes that told their own, in the newest `windows` windows.
     pub fn sum_of_nodes(&self, windows: usize) -> Vec<WindowCounts> {
         let state = self.lock();
         let mut sums = Windows::new();
-        for counted in std::iter::once(&state.own).chain(state.others.values()) {
+        for counted in std::iter::once(&state.own).chain(state.peers.values()) {
             for (window, counts) in counted {
-                add(sums.entry(*window).or_default(), counts);
+                add_counts(sums.entry(*window).or_default(), counts);
             }
         }
         sums.into_iter().rev().take(windows).map(|(window, counts)| WindowCounts { window, counts }).collect()
@@ -162,50 +163,60 @@
     }
 
     /// What is to be written down of the windows from `oldest` on.
-    pub fn to_carry(&self, oldest: u64) -> CarriedUsage {
+    pub fn to_checkpoint(&self, oldest: u64) -> UsageCheckpoint {
         let state = self.lock();
-        let sources = state.sources(self.own_mark).flat_map(|(_, windows)| windows.keys());
-        let windows: BTreeSet<u64> = sources.chain(state.carried.keys()).copied().collect();
-        let counted = windows.range(oldest..).map(|window| state.total(self.own_mark, *window));
-        let of_nodes = state.others.keys().map(|(node, life)| mark(node, *life));
-        let lives = state.carried_lives.iter().copied().chain(of_nodes).chain([self.own_mark]);
-        CarriedUsage { lives: lives.collect(), windows: counted.collect() }
+        let sources = state.sources(self.own_hash).flat_map(|(_, windows)| windows.keys());
+        let windows: BTreeSet<u64> = sources.chain(state.checkpointed.keys()).copied().collect();
+        let counted = windows.range(oldest..).map(|window| state.total(self.own_hash, *window));
+        let node_hashes = state.peers.keys().map(|(node, generation)| generation_hash(node, *generation));
+        let lives = state.checkpointed_generations.iter().copied().chain(node_hashes).chain([self.own_hash]);
+        UsageCheckpoint { lives: lives.collect(), windows: counted.collect() }
     }
 
     /// Takes what another one wrote down, in place of what was taken before.
-    pub fn carry(&self, carried: CarriedUsage) {
+    pub fn restore_checkpoint(&self, checkpointed: UsageCheckpoint) {
         let mut state = self.lock();
-        state.carried = carried.windows.into_iter().map(|counted| (counted.window, counted.counts)).collect();
-        state.carried_lives = carried.lives;
+        state.checkpointed =
+            checkpointed.windows.into_iter().map(|counted| (counted.window, counted.counts)).collect();
+        state.checkpointed_generations = checkpointed.lives;
     }
 
     /// The counts of all nodes for one window.
     pub fn total(&self, window: u64) -> WindowCounts {
-        self.lock().total(self.own_mark, window)
+        self.lock().total(self.own_hash, window)
     }
 }
 
 impl State {
     /// Who counted, each with the mark of the life; sums of other zones have none.
-    fn sources(&self, own_mark: u32) -> impl Iterator<Item = (Option<u32>, &Windows)> {
-        let others = self.others.iter().map(|((node, life), windows)| (Some(mark(node, *life)), windows));
+    fn sources(&self, own_hash: u32) -> impl Iterator<Item = (Option<u32>, &Windows)> {
+        let peers = self
+            .peers
+            .iter()
+            .map(|((node, generation), windows)| (Some(generation_hash(node, *generation)), windows));
         let zones = self.zones.values().map(|windows| (None, windows));
-        std::iter::once((Some(own_mark), &self.own)).chain(others).chain(zones)
+        std::iter::once((Some(own_hash), &self.own)).chain(peers).chain(zones)
     }
 
-    fn total(&self, own_mark: u32, window: u64) -> WindowCounts {
-        let is_carried = |mark: Option<u32>| mark.is_none_or(|mark| self.carried_lives.contains(&mark));
-        let (mut of_carried, mut of_others) = (BTreeMap::new(), BTreeMap::new());
-        for (mark, windows) in self.sources(own_mark) {
+    fn total(&self, own_hash: u32, window: u64) -> WindowCounts {
+        let is_checkpointed = |generation_hash: Option<u32>| {
+            generation_hash
+                .is_none_or(|generation_hash| self.checkpointed_generations.contains(&generation_hash))
+        };
+        let (mut from_checkpointed, mut from_others) = (BTreeMap::new(), BTreeMap::new());
+        for (generation_hash, windows) in self.sources(own_hash) {
             if let Some(counts) = windows.get(&window) {
-                add(if is_carried(mark) { &mut of_carried } else { &mut of_others }, counts);
+                add_counts(
+                    if is_checkpointed(generation_hash) { &mut from_checkpointed } else { &mut from_others },
+                    counts,
+                );
             }
         }
-        if let Some(carried) = self.carried.get(&window) {
-            raise_counts(&mut of_carried, carried);
+        if let Some(checkpointed) = self.checkpointed.get(&window) {
+            raise_counts(&mut from_checkpointed, checkpointed);
         }
-        add(&mut of_others, &of_carried);
-        WindowCounts { window, counts: of_others }
+        add_counts(&mut from_others, &from_checkpointed);
+        WindowCounts { window, counts: from_others }
     }
 }
 
@@ -218,16 +229,16 @@
     windows.iter().rev().take(count).map(counted).collect()
 }
 
-fn add(sum: &mut BTreeMap<TenantName, u64>, counts: &BTreeMap<TenantName, u64>) {
+fn add_counts(sum: &mut BTreeMap<TenantName, u64>, counts: &BTreeMap<TenantName, u64>) {
     for (tenant, count) in counts {
         *sum.entry(tenant.clone()).or_default() += count;
     }
 }
 
 /// Raises counts to those that were told; counts only grow. Returns whether any did.
-fn raise(known: &mut Windows, told: Vec<WindowCounts>) -> bool {
+fn raise_to_reported(known: &mut Windows, reported: Vec<WindowCounts>) -> bool {
     let mut has_grown = false;
-    for window in told {
+    for window in reported {
         has_grown |= raise_counts(known.entry(window.window).or_default(), &window.counts);
     }
     if let Some(newest) = known.keys().next_back().copied() {
@@ -236,9 +247,9 @@
     has_grown
 }
 
-fn raise_counts(known: &mut BTreeMap<TenantName, u64>, told: &BTreeMap<TenantName, u64>) -> bool {
+fn raise_counts(known: &mut BTreeMap<TenantName, u64>, reported: &BTreeMap<TenantName, u64>) -> bool {
     let mut has_grown = false;
-    for (tenant, count) in told {
+    for (tenant, count) in reported {
         let entry = known.entry(tenant.clone()).or_default();
         has_grown |= *count > *entry;
         *entry = (*entry).max(*count);
