--- a/crates/beamwall-duties/src/checkpoint.rs
+++ b/crates/beamwall-duties/src/checkpoint.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use beamwall_gateway::sizing::Needed;
-use beamwall_gateway::usage::CarriedUsage;
+use beamwall_gateway::usage::UsageCheckpoint;
 use beamwall_model::ServiceName;
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
     /// The oldest window of usage that is not fixed yet; `None` while that is not known.
     pub first_open_window: Option<u64>,
     /// The counts of open windows.
-    pub usage: CarriedUsage,
+    pub usage: UsageCheckpoint,
     /// How many back ends each service needed as of the last look.
     pub needs: BTreeMap<ServiceName, Needed>,
     /// What was ordered, and what could not be had.
--- a/crates/beamwall-duties/src/orders.rs
+++ b/crates/beamwall-duties/src/orders.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use beamwall_gateway::ports::CapacityOrder;
-use beamwall_gateway::scaling::{GivenOrder, OrderKey};
+use beamwall_gateway::scaling::{OrderKey, SubmittedOrder};
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
@@ -36,7 +36,7 @@
 /// The orders of one tenure.
 #[derive(Debug, Default)]
 pub struct OrderBook {
-    given: BTreeMap<OrderKey, GivenOrder>,
+    given: BTreeMap<OrderKey, SubmittedOrder>,
     refused: BTreeMap<OrderKey, RefusedOrder>,
 }
 
@@ -48,7 +48,7 @@
             if is_exhausted {
                 book.refused.insert(key.clone(), RefusedOrder { at: now, is_exhausted });
             }
-            book.given.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
+            book.given.extend(wanted.map(|wanted| (key, SubmittedOrder::new(wanted, now))));
         }
         book
     }
@@ -68,12 +68,12 @@
     }
 
     /// The orders that were given.
-    pub fn given(&self) -> &BTreeMap<OrderKey, GivenOrder> {
+    pub fn given(&self) -> &BTreeMap<OrderKey, SubmittedOrder> {
         &self.given
     }
 
     /// The same, to note what came of them.
-    pub fn given_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
+    pub fn given_mut(&mut self) -> &mut BTreeMap<OrderKey, SubmittedOrder> {
         &mut self.given
     }
 
@@ -97,7 +97,7 @@
     pub fn note_done(&mut self, order: &CapacityOrder, now: Instant) {
         let key = OrderKey::of(order);
         self.refused.remove(&key);
-        self.given.insert(key, GivenOrder::new(order.wanted, now));
+        self.given.insert(key, SubmittedOrder::new(order.wanted, now));
     }
 
     /// Notes that an order was not carried out; returns whether it is news that none can be had.
--- a/crates/beamwall-duties/tests/checkpoint.rs
+++ b/crates/beamwall-duties/tests/checkpoint.rs
@@ -3,7 +3,7 @@
 use beamwall_duties::{DutyCheckpoint, KeptOrder};
 use beamwall_gateway::scaling::OrderKey;
 use beamwall_gateway::sizing::Needed;
-use beamwall_gateway::usage::{CarriedUsage, WindowCounts};
+use beamwall_gateway::usage::{UsageCheckpoint, WindowCounts};
 use beamwall_peer::compressed;
 
 /// Tenants, gateways and open windows of the planned size.
@@ -26,7 +26,7 @@
     let needed = Needed { usual: 10_000, standing_in: 5_000, after_loss: 4_000 };
     DutyCheckpoint {
         first_open_window: Some(353_445_120),
-        usage: CarriedUsage {
+        usage: UsageCheckpoint {
             lives: (0..LIVES).map(|life| life.wrapping_mul(0x9e37_79b9)).collect(),
             windows: windows.collect(),
         },
--- a/crates/beamwall-duties/tests/orders.rs
+++ b/crates/beamwall-duties/tests/orders.rs
@@ -32,9 +32,9 @@
     let service: ServiceName = "model".into();
     let supply = |zone: &&str| ZoneSupply {
         zone: (*zone).into(),
-        lasting_usable: usable,
+        on_demand_usable: usable,
         reclaimable_usable: if *zone == "a" { 0 } else { 16 },
-        lasting_ordered: book.ordered(&key(zone, false)).unwrap_or(usable),
+        on_demand_ordered: book.ordered(&key(zone, false)).unwrap_or(usable),
         is_exhausted: book.is_exhausted(&key(zone, true)),
     };
     let zones: Vec<ZoneSupply> = ZONES.iter().map(supply).collect();
@@ -42,7 +42,7 @@
     let needed = Needed { usual: 49, standing_in: 30, after_loss: 24 };
     let inputs = ScalingInputs { service: &service, limits: &limits, zones: &zones, needed, floor: 0 };
     scaling::note_usable(book.given_mut(), &service, &zones);
-    let due = scaling::due(&scaling::plan(&inputs), book.given(), &inputs, now);
+    let due = scaling::orders_due(&scaling::plan(&inputs), book.given(), &inputs, now);
     due.into_iter().filter(|order| book.may_try(&OrderKey::of(order), now)).collect()
 }
 
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::admission;
-use crate::attempt::{self, AttemptFailure, Opened};
+use crate::attempt::{self, AttemptFailure, OpenResponse};
 use crate::attempts::Attempts;
 use crate::failover::{self, FailedAttempt};
 use crate::forward::{Call, Forwarder};
@@ -44,7 +44,7 @@
             Ok(Begun::Answer(response)) => return Ok(response),
             Err(failed) => failed,
         };
-        next = attempts.go_on(forwarder, call, &choice, failed).await;
+        next = attempts.continue_after_failure(forwarder, call, &choice, failed).await;
     }
     Err(attempts.refusal(call))
 }
@@ -95,20 +95,20 @@
     let sent = attempts.sent + 1;
     let mut next_back_end = std::pin::pin!(async {
         patience.ends().await;
-        failover::next_back_end(forwarder, call, attempts, sent, &choice.backend).await
+        failover::reserve_next_back_end(forwarder, call, attempts, sent, &choice.backend).await
     });
     let opened = tokio::select! {
         biased;
         opened = attempt::open(forwarder, call, choice, last_event, limit) => opened?,
         next = next_back_end.as_mut() => {
-            return Err(attempt::leave_silent(forwarder, call, &choice.backend, next));
+            return Err(attempt::abandon_silent(forwarder, call, &choice.backend, next));
         }
     };
     if !opened.response.status().is_success() {
         forwarder.note_answer(call, &choice.backend, opened.response.status().is_server_error());
-        return Ok(unary::pass_opened(forwarder, call, opened).await.map(Begun::Answer)?);
+        return Ok(unary::respond_buffered(forwarder, call, opened).await.map(Begun::Answer)?);
     }
-    let Opened { response, work, .. } = opened;
+    let OpenResponse { response, work, .. } = opened;
     let (parts, body) = response.into_parts();
     let is_framed =
         parts.headers.contains_key(CONTENT_LENGTH) || parts.headers.contains_key(TRANSFER_ENCODING);
@@ -117,23 +117,23 @@
         biased;
         piece = source.next_piece() => piece,
         next = next_back_end.as_mut() => {
-            return Err(attempt::leave_silent(forwarder, call, &choice.backend, next));
+            return Err(attempt::abandon_silent(forwarder, call, &choice.backend, next));
         }
-        () = call.time_is_up() => {
+        () = call.deadline_elapsed() => {
             Piece::Broken(AttemptFailure::lost("no first event in time"))
         }
     };
     if let Piece::Broken(failure) = first {
-        forwarder.knowledge.health.note(&choice.backend, true, Instant::now());
+        forwarder.backend_state.health.note(&choice.backend, true, Instant::now());
         forwarder.note_answer(call, &choice.backend, true);
-        return Err(failure.after_begin().into());
+        return Err(failure.after_start().into());
     }
-    forwarder.knowledge.health.note_heard(&choice.backend, running::now());
-    source.work.begin_answer();
+    forwarder.backend_state.health.note_activity(&choice.backend, running::now());
+    source.work.start_response();
     note_first_event(forwarder, call, choice, sent_at);
-    forwarder.record_run(call);
+    forwarder.record_usage(call);
     if let Some(prompt) = &call.prompt {
-        forwarder.knowledge.prefixes.note_read(&choice.backend, prompt, Instant::now());
+        forwarder.backend_state.prefixes.note_prefill(&choice.backend, prompt, Instant::now());
     }
     let head = StreamHead { status: parts.status, headers: forwarder.dialect.answer_headers(&parts.headers) };
     Ok(Begun::Stream(Box::new(BegunStream { head, source, first })))
@@ -144,7 +144,7 @@
 fn note_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
-    let models = &forwarder.knowledge.models;
+    let models = &forwarder.backend_state.models;
     models.note_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
     forwarder.note_answer(call, &choice.backend, choice.is_slow(took_ms));
 }
--- a/crates/beamwall-gateway/src/stream/patience.rs
+++ b/crates/beamwall-gateway/src/stream/patience.rs
@@ -67,11 +67,11 @@
     /// streams of this node, or it has been silent for very long.
     fn is_known_silent(&self) -> bool {
         let is_gone = self.forwarder.directory.load().get(self.backend).is_none();
-        let owes_events = self.forwarder.knowledge.loads.answering(self.backend) > 0;
+        let owes_events = self.forwarder.backend_state.loads.responding_requests(self.backend) > 0;
         is_gone || owes_events || running::now() >= self.at_the_latest
     }
 
     fn heard_lately(&self) -> bool {
-        self.forwarder.knowledge.health.is_heard(self.backend, running::now())
+        self.forwarder.backend_state.health.is_responsive(self.backend, running::now())
     }
 }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -106,7 +106,7 @@
         let mut pace: Option<Pace> = None;
         let call = self.call.clone();
         // One timer for all events of the source.
-        let mut time_is_up = std::pin::pin!(call.time_is_up());
+        let mut time_is_up = std::pin::pin!(call.deadline_elapsed());
         loop {
             let piece = match next.take() {
                 Some(piece) => piece,
@@ -122,7 +122,7 @@
             match piece {
                 Piece::Events(events) => {
                     let now = running::now();
-                    self.forwarder.knowledge.health.note_heard(&source.choice.backend, now);
+                    self.forwarder.backend_state.health.note_activity(&source.choice.backend, now);
                     let run = read_run(&events);
                     match &mut pace {
                         None => pace = Some(Pace::new(now)),
@@ -155,13 +155,13 @@
         if let Some(between_ms) = pace.at_end(now) {
             self.note_event_gap(source, between_ms);
         }
-        self.forwarder.knowledge.models.note_stream(&self.call.service, pace.elapsed_ms(now));
+        self.forwarder.backend_state.models.note_stream(&self.call.service, pace.elapsed_ms(now));
     }
 
     fn note_event_gap(&self, source: &Source, between_ms: f64) {
         let service = &self.call.service;
         let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
-        let models = &self.forwarder.knowledge.models;
+        let models = &self.forwarder.backend_state.models;
         models.note_event_gap(service, &source.choice.backend, running, between_ms, Instant::now());
     }
 
@@ -175,7 +175,7 @@
                 return std::future::pending().await;
             }
             running::sleep(SILENCE_LIMIT).await;
-            failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent).await
+            failover::reserve_next_back_end(forwarder, call, attempts, attempts.sent, &silent).await
         };
         tokio::select! {
             // What has come goes before what says that nothing came.
@@ -190,7 +190,7 @@
     /// Continues the stream after the last event that was passed on, where `from` gave no more.
     async fn continue_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<BegunStream> {
         let FailedAttempt { failure, next } = failed;
-        self.forwarder.knowledge.health.note(&from.backend, true, Instant::now());
+        self.forwarder.backend_state.health.note(&from.backend, true, Instant::now());
         self.forwarder.note_answer(&self.call, &from.backend, true);
         self.attempts.note(&self.forwarder, &self.call, &from.backend, failure);
         let mut next = self.attempts.next_choice(&self.forwarder, &self.call, from, next).await;
@@ -212,7 +212,7 @@
                 }
                 Err(failed) => failed,
             };
-            next = self.attempts.go_on(&self.forwarder, &self.call, &choice, failed).await;
+            next = self.attempts.continue_after_failure(&self.forwarder, &self.call, &choice, failed).await;
         }
         None
     }
--- a/crates/beamwall-gateway/src/stream/source.rs
+++ b/crates/beamwall-gateway/src/stream/source.rs
@@ -6,7 +6,7 @@
 
 use crate::attempt::AttemptFailure;
 use crate::event_stream::EventSplitter;
-use crate::load::OpenWork;
+use crate::load::OpenRequestGuard;
 use crate::placement::Choice;
 
 /// What came from an engine.
@@ -24,7 +24,7 @@
     /// The engine, and what decided for it.
     pub(super) choice: Choice,
     body: PooledBody,
-    pub(super) work: OpenWork,
+    pub(super) work: OpenRequestGuard,
     splitter: EventSplitter,
     /// Whether the answer's own framing tells its end.
     is_framed: bool,
@@ -32,7 +32,7 @@
 
 impl Source {
     /// The stream of an answer whose head came; `is_framed`: the answer's own framing tells its end.
-    pub(super) fn new(choice: &Choice, body: PooledBody, work: OpenWork, is_framed: bool) -> Self {
+    pub(super) fn new(choice: &Choice, body: PooledBody, work: OpenRequestGuard, is_framed: bool) -> Self {
         Self { choice: choice.clone(), body, work, splitter: EventSplitter::default(), is_framed }
     }
 
@@ -42,7 +42,7 @@
             if let Some(events) = self.take_events() {
                 return Piece::Events(events);
             }
-            if self.splitter.is_overfull() {
+            if self.splitter.exceeds_limit() {
                 return Piece::Broken(AttemptFailure::may_have_run("not an event stream"));
             }
             match self.body.frame().await {
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -7,11 +7,11 @@
 
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
-use beamwall_gateway::attempt::{AttemptFailure, Ran};
-use beamwall_gateway::attempts::{Attempts, Missing};
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::attempt::{AttemptFailure, Execution};
+use beamwall_gateway::attempts::{Attempts, RetryBlocker};
+use beamwall_gateway::candidates::BackendState;
 use beamwall_gateway::choice::Chooser;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 use beamwall_gateway::failover::FailedAttempt;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::forward::{Call, Forwarder};
@@ -20,7 +20,7 @@
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{
-    AnswerHead, CallHead, Choice, Dialect, ForwardHead, PlacementAnswer, PlacementPort, PlacementQuestion,
+    AnswerHead, CallHead, Choice, Dialect, ForwardHead, PlacementOutcome, PlacementPort, PlacementQuery,
 };
 use beamwall_http::Pool;
 use beamwall_model::ChoiceStrategy;
@@ -52,14 +52,14 @@
 
 #[async_trait]
 impl PlacementPort for Unused {
-    async fn place(&self, _: &PlacementQuestion) -> PlacementAnswer {
-        PlacementAnswer::Unanswered
+    async fn place(&self, _: &PlacementQuery) -> PlacementOutcome {
+        PlacementOutcome::Unanswered
     }
 }
 
 #[async_trait]
 impl TrialPort for Unused {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -78,10 +78,10 @@
         dialect: Arc::new(Unused),
         pool,
         directory,
-        knowledge: Knowledge::default(),
+        backend_state: BackendState::default(),
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
         placement: Arc::new(Unused),
-        demand: DemandBook::default(),
+        demand: DemandTracker::default(),
         rollouts: RolloutBook::default(),
         quarantine: Arc::new(quarantine),
         retries: RetryBudgets::new(allowance, 1),
@@ -97,7 +97,12 @@
 }
 
 fn refused() -> FailedAttempt {
-    AttemptFailure { ran: Ran::No, answer_lost: false, ..AttemptFailure::may_have_run("refused") }.into()
+    AttemptFailure {
+        execution: Execution::NotExecuted,
+        response_lost: false,
+        ..AttemptFailure::may_have_run("refused")
+    }
+    .into()
 }
 
 fn retries_left(forwarder: &Forwarder) -> f64 {
@@ -105,7 +110,7 @@
 }
 
 /// An attempt that runs at one engine, for which another is reserved.
-async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, Missing>) {
+async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, RetryBlocker>) {
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(forwarder, call).await.expect("an engine");
     let next = attempts.reserve(forwarder, call, 1, Vec::new()).await;
@@ -125,10 +130,10 @@
 async fn without_another_engine_the_retry_goes_back() {
     let (forwarder, call) = (forwarder(1, 1.0), call());
     let (mut attempts, _, next) = fail_over(&forwarder, &call).await;
-    assert_eq!(next, Err(Missing::BackEnd));
+    assert_eq!(next, Err(RetryBlocker::BackEnd));
     assert_eq!(retries_left(&forwarder), 1.0);
     let avoided = support::directory(1, 8).backends().map(|backend| backend.id.clone()).collect();
-    assert_eq!(attempts.reserve(&forwarder, &call, 1, avoided).await, Err(Missing::BackEnd));
+    assert_eq!(attempts.reserve(&forwarder, &call, 1, avoided).await, Err(RetryBlocker::BackEnd));
 }
 
 #[tokio::test(start_paused = true)]
@@ -136,7 +141,7 @@
     let (forwarder, call) = (forwarder(3, 0.0), call());
     while forwarder.retries.take(&call.service, Instant::now()) {}
     let (attempts, _, next) = fail_over(&forwarder, &call).await;
-    assert_eq!(next, Err(Missing::Retry));
+    assert_eq!(next, Err(RetryBlocker::Retry));
     assert_eq!(attempts.tried.len(), 1);
 }
 
@@ -147,14 +152,17 @@
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let (mut attempts, first, next) = fail_over(&forwarder, &call).await;
     let failed = FailedAttempt { failure: AttemptFailure::lost("silent"), next: next.ok() };
-    let second = attempts.go_on(&forwarder, &call, &first, failed).await.expect("the reserved engine");
+    let second = attempts
+        .continue_after_failure(&forwarder, &call, &first, failed)
+        .await
+        .expect("the reserved engine");
     assert_ne!(second.backend, first.backend);
     let mut returned = 0;
-    let mut next = attempts.go_on(&forwarder, &call, &second, refused()).await;
+    let mut next = attempts.continue_after_failure(&forwarder, &call, &second, refused()).await;
     while let Some(choice) = next {
         assert_eq!(choice.backend, first.backend, "no third engine, and not the one that refused");
         returned += 1;
-        next = attempts.go_on(&forwarder, &call, &choice, refused()).await;
+        next = attempts.continue_after_failure(&forwarder, &call, &choice, refused()).await;
     }
     assert_eq!(returned, 3);
     assert_eq!(attempts.tried.len(), 2);
@@ -168,6 +176,7 @@
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(&forwarder, &call).await.expect("an engine");
     let lost = AttemptFailure::lost("reset").into();
-    let second = attempts.go_on(&forwarder, &call, &first, lost).await.expect("the other engine");
-    assert_eq!(attempts.go_on(&forwarder, &call, &second, refused()).await, None);
+    let second =
+        attempts.continue_after_failure(&forwarder, &call, &first, lost).await.expect("the other engine");
+    assert_eq!(attempts.continue_after_failure(&forwarder, &call, &second, refused()).await, None);
 }
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -7,9 +7,9 @@
 
 use beamwall_engine_model::{Reading, ServiceEstimates};
 use beamwall_gateway::choice::{self, Candidate, Chooser, Expectation};
-use beamwall_gateway::health::{HealthBook, HealthView};
-use beamwall_gateway::load::{LoadBook, OpenLoad};
-use beamwall_gateway::prefix::{PrefixBelief, home, shared_tokens};
+use beamwall_gateway::health::{HealthTracker, HealthView};
+use beamwall_gateway::load::{LoadTracker, OpenLoad};
+use beamwall_gateway::prefix_cache::{PrefixCacheIndex, preferred_back_end, shared_tokens};
 use beamwall_gateway::{Prompt, PromptPart, Reporter};
 use beamwall_model::{BackendId, ChoiceStrategy};
 use beamwall_seeds::on_seeds;
@@ -149,7 +149,7 @@
 
 #[test]
 fn failures_fade_so_that_a_back_end_is_tried_again() {
-    let (book, start) = (HealthBook::default(), Instant::now());
+    let (book, start) = (HealthTracker::default(), Instant::now());
     let engine: BackendId = "e".into();
     for _ in 0..20 {
         book.note_unreachable(&engine, start);
@@ -161,7 +161,7 @@
 
 #[test]
 fn open_work_counts_until_it_ends_and_prompts_until_they_are_read() {
-    let book = Arc::new(LoadBook::default());
+    let book = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
     let mut work = book.open(&engine, 500);
     book.set_peer(
@@ -169,7 +169,7 @@
         [(engine.clone(), OpenLoad { requests: 2, prompt_tokens: 100 })].into(),
     );
     assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 600 });
-    work.begin_answer();
+    work.start_response();
     assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 100 });
     drop(work);
     book.set_peer(
@@ -178,7 +178,7 @@
     );
     // 30% of the newest number and 70% of the one before.
     assert_eq!(book.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
-    book.forget_peer(&Reporter::Node("n1".into()));
+    book.remove_peer(&Reporter::Node("n1".into()));
     assert_eq!(book.total(&engine), OpenLoad::default());
     assert!(book.own().is_empty());
 }
@@ -187,7 +187,7 @@
 /// second old said that they read another one.
 #[test]
 fn told_prompt_tokens_are_averaged_and_fade_when_they_are_told_no_more() {
-    let book = LoadBook::default();
+    let book = LoadTracker::default();
     let engine: BackendId = "e".into();
     let peer = Reporter::Node("n1".into());
     for _ in 0..20 {
@@ -205,7 +205,7 @@
 
 #[test]
 fn the_sum_for_other_zones_holds_what_nodes_told_and_not_what_zones_told() {
-    let book = Arc::new(LoadBook::default());
+    let book = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
     let _own = book.open(&engine, 10);
     let told = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
@@ -219,18 +219,18 @@
 /// and an engine from which none is due says nothing by its silence.
 #[test]
 fn an_engine_owes_events_to_the_requests_that_it_has_begun_to_answer() {
-    let book = Arc::new(LoadBook::default());
+    let book = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
     let waiting = book.open(&engine, 10);
-    assert_eq!(book.answering(&engine), 0);
+    assert_eq!(book.responding_requests(&engine), 0);
     let mut begun = book.open(&engine, 10);
-    begun.begin_answer();
-    begun.begin_answer();
-    assert_eq!(book.answering(&engine), 1);
+    begun.start_response();
+    begun.start_response();
+    assert_eq!(book.responding_requests(&engine), 1);
     drop(waiting);
-    assert_eq!(book.answering(&engine), 1);
+    assert_eq!(book.responding_requests(&engine), 1);
     drop(begun);
-    assert_eq!(book.answering(&engine), 0);
+    assert_eq!(book.responding_requests(&engine), 0);
 }
 
 fn prompt(parts: &[u64]) -> Prompt {
@@ -240,15 +240,18 @@
 
 #[test]
 fn parts_count_as_kept_only_behind_kept_ones_and_for_a_while() {
-    let (belief, start) = (PrefixBelief::default(), Instant::now());
+    let (belief, start) = (PrefixCacheIndex::default(), Instant::now());
     let engine: BackendId = "e".into();
-    belief.note_read(&engine, &prompt(&[1, 2, 3]), start);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
-    assert_eq!(belief.kept_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)), 0);
+    belief.note_prefill(&engine, &prompt(&[1, 2, 3]), start);
+    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
+    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
+    assert_eq!(belief.estimated_cached_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
+    assert_eq!(
+        belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)),
+        0
+    );
     belief.retain(|_| false);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
+    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
 }
 
 #[test]
@@ -258,10 +261,10 @@
     turned.reverse();
     for id in 0..50 {
         let (one, other) = (prompt(&[7, id, 1_000 + id]), prompt(&[7, id, 2_000 + id]));
-        assert_eq!(home(&one, &engines), home(&other, &turned));
+        assert_eq!(preferred_back_end(&one, &engines), preferred_back_end(&other, &turned));
         assert_eq!(shared_tokens(&one), 200);
     }
-    assert_eq!(home(&prompt(&[1]), &engines), None, "nothing is shared");
+    assert_eq!(preferred_back_end(&prompt(&[1]), &engines), None, "nothing is shared");
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/cut_zones.rs
+++ b/crates/beamwall-gateway/tests/cut_zones.rs
@@ -3,11 +3,11 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use beamwall_gateway::cut_zones::CutZones;
-use beamwall_gateway::health::HealthBook;
+use beamwall_gateway::health::HealthTracker;
 use beamwall_gateway::placement::UnreachableReports;
 use beamwall_gateway::ports::DirectorySnapshot;
-use beamwall_gateway::{Backend, Directory, Vanishing};
+use beamwall_gateway::unreachable_zones::UnreachableZones;
+use beamwall_gateway::{Backend, Directory, RemovalCause};
 use beamwall_model::ZoneName;
 use tokio::time::Instant;
 
@@ -26,7 +26,7 @@
     };
     let backends = [("e0", "east"), ("e1", "east"), ("w0", "west")].map(backend).to_vec();
     let mut directory = Directory::default();
-    directory.replace(DirectorySnapshot { revision: 1, backends }, Vanishing::Gone);
+    directory.replace(DirectorySnapshot { revision: 1, backends }, RemovalCause::Gone);
     directory
 }
 
@@ -36,7 +36,8 @@
 
 #[test]
 fn a_zone_is_cut_off_when_its_nodes_are_silent_and_an_engine_cannot_be_reached() {
-    let (cut, health, reports) = (CutZones::default(), HealthBook::default(), UnreachableReports::default());
+    let (cut, health, reports) =
+        (UnreachableZones::default(), HealthTracker::default(), UnreachableReports::default());
     let (directory, now) = (directory(), Instant::now());
     let update = |silent: &[&str], now| cut.update(&zones(silent), &directory, &health, &reports, now);
     assert!(update(&["east"], now).is_empty(), "its nodes alone may be down");
--- a/crates/beamwall-gateway/tests/demand.rs
+++ b/crates/beamwall-gateway/tests/demand.rs
@@ -4,12 +4,12 @@
 
 use beamwall_engine_model::{Reading, Workload};
 use beamwall_gateway::Reporter;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 
 const PERIOD: Duration = Duration::from_millis(500);
 
 /// Notes `count` requests a period for `periods` periods.
-fn press(book: &DemandBook, count: usize, periods: usize) -> Workload {
+fn press(book: &DemandTracker, count: usize, periods: usize) -> Workload {
     let mut work = Workload::default();
     for _ in 0..periods {
         for _ in 0..count {
@@ -34,7 +34,7 @@
 
 #[test]
 fn demand_is_the_work_that_arrives_in_a_second() {
-    let book = DemandBook::default();
+    let book = DemandTracker::default();
     book.note_events("drafts", 30);
     let a_second =
         Workload { requests: 20.0, tokens: 64_000.0, pairs: 20.0 * 3_200.0 * 1_600.0, events: 600.0 };
@@ -45,7 +45,7 @@
 
 #[test]
 fn demand_of_all_nodes_is_summed_and_unknown_before_any_request() {
-    let book = DemandBook::default();
+    let book = DemandTracker::default();
     let service = "model".into();
     let requests = |requests: f64| Workload { requests, ..Workload::default() };
     assert_eq!(book.total(&service), None);
@@ -53,13 +53,13 @@
     book.set_peer(&Reporter::Node("n2".into()), [(service.clone(), requests(0.5))].into());
     book.set_peer(&Reporter::Node("n2".into()), [(service.clone(), requests(1.0))].into());
     assert_eq!(book.total(&service), Some(requests(2.5)));
-    book.forget_peer(&Reporter::Node("n1".into()));
+    book.remove_peer(&Reporter::Node("n1".into()));
     assert_eq!(book.total(&service), Some(requests(1.0)));
 }
 
 #[test]
 fn long_streams_count_more_once_their_length_is_known() {
-    let (short, long) = (DemandBook::default(), DemandBook::default());
+    let (short, long) = (DemandTracker::default(), DemandTracker::default());
     for _ in 0..100 {
         short.note_events("drafts", 2);
         long.note_events("drafts", 200);
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use beamwall_gateway::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
-use beamwall_gateway::{Backend, Correction, Directory, Vanishing};
+use beamwall_gateway::{Backend, Directory, Reconciliation, RemovalCause};
 use beamwall_model::BackendId;
 use beamwall_seeds::on_seeds;
 
@@ -29,7 +29,7 @@
 
 fn listed(revision: u64, backends: Vec<Backend>) -> Directory {
     let mut directory = Directory::default();
-    assert!(directory.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
+    assert!(directory.replace(DirectorySnapshot { revision, backends }, RemovalCause::Gone));
     directory
 }
 
@@ -37,11 +37,11 @@
 fn a_change_after_a_quiet_wait_is_taken() {
     let mut directory = listed(46, vec![backend(1, false)]);
     // Other kinds of object changed meanwhile: the wait ended without changes at a higher revision.
-    directory.apply(46, changes(49, Vec::new()), Vanishing::Gone);
+    directory.apply(46, changes(49, Vec::new()), RemovalCause::Gone);
     assert!(directory.apply(
         49,
         changes(53, vec![DirectoryChange::Changed(backend(1, true))]),
-        Vanishing::Gone
+        RemovalCause::Gone
     ));
     assert_eq!(directory.usable(&"model".into()).count(), 0);
 }
@@ -49,7 +49,7 @@
 #[test]
 fn changes_that_do_not_follow_are_refused() {
     let mut directory = listed(10, vec![backend(1, false)]);
-    assert!(!directory.apply(12, changes(13, vec![DirectoryChange::Gone("b1".into())]), Vanishing::Gone));
+    assert!(!directory.apply(12, changes(13, vec![DirectoryChange::Gone("b1".into())]), RemovalCause::Gone));
     assert_eq!(directory.revision(), 10);
 }
 
@@ -57,8 +57,10 @@
 fn an_older_snapshot_of_a_peer_is_refused() {
     let mut directory = listed(10, vec![backend(1, true)]);
     assert!(
-        !directory
-            .replace(DirectorySnapshot { revision: 9, backends: vec![backend(1, false)] }, Vanishing::Gone)
+        !directory.replace(
+            DirectorySnapshot { revision: 9, backends: vec![backend(1, false)] },
+            RemovalCause::Gone
+        )
     );
     assert!(directory.backends().all(|known| known.draining));
 }
@@ -125,8 +127,8 @@
     changes(to, history[from as usize..to as usize].iter().flatten().cloned().collect())
 }
 
-fn vanishing(random: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Vanishing> {
-    Ok(if random.arbitrary()? { Vanishing::Gone } else { Vanishing::MayHaveLapsed })
+fn vanishing(random: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<RemovalCause> {
+    Ok(if random.arbitrary()? { RemovalCause::Gone } else { RemovalCause::MaybeExpired })
 }
 
 /// Back ends can't renew their entries while the store is away; they are listed again soon after its return.
@@ -136,22 +138,22 @@
     let mut directory = listed(10, vec![backend(1, false), backend(2, true), backend(3, false)]);
     let gone = |number: u8| DirectoryChange::Gone(backend(number, false).instance);
     let all_gone = changes(20, vec![gone(1), gone(2), gone(3)]);
-    assert!(directory.apply(10, all_gone, Vanishing::MayHaveLapsed));
+    assert!(directory.apply(10, all_gone, RemovalCause::MaybeExpired));
     assert_eq!(directory.backends().count(), 0, "peers are told what is listed");
     assert_eq!(directory.usable(&service).count(), 2, "one had said that it leaves");
     assert!(directory.get(&"b1".into()).is_some());
     let listed_again = changes(21, vec![DirectoryChange::Changed(backend(1, false))]);
-    assert!(directory.apply(20, listed_again, Vanishing::MayHaveLapsed));
-    assert_eq!((directory.usable(&service).count(), directory.lapsed()), (2, 1));
-    assert!(directory.drop_lapsed());
+    assert!(directory.apply(20, listed_again, RemovalCause::MaybeExpired));
+    assert_eq!((directory.usable(&service).count(), directory.expired()), (2, 1));
+    assert!(directory.drop_expired());
     assert_eq!(directory.usable(&service).count(), 1);
-    assert!(!directory.drop_lapsed());
+    assert!(!directory.drop_expired());
 }
 
 #[test]
 fn an_entry_that_vanishes_while_the_store_answers_is_gone() {
     let mut directory = listed(10, vec![backend(1, false)]);
-    directory.apply(10, changes(11, vec![DirectoryChange::Gone("b1".into())]), Vanishing::Gone);
+    directory.apply(10, changes(11, vec![DirectoryChange::Gone("b1".into())]), RemovalCause::Gone);
     assert!(directory.get(&"b1".into()).is_none());
 }
 
@@ -167,14 +169,14 @@
         while watched < last {
             let until = random.int_in_range(watched + 1..=last)?;
             if random.ratio(1, 4)? {
-                directory.replace(snapshot_at(&history, until), Vanishing::Gone);
+                directory.replace(snapshot_at(&history, until), RemovalCause::Gone);
             }
-            directory.apply(watched, changes_between(&history, watched, until), Vanishing::Gone);
+            directory.apply(watched, changes_between(&history, watched, until), RemovalCause::Gone);
             watched = until;
             for held in 0..directory.revision() {
                 let Some(changes) = directory.changes_since(held) else { continue };
                 let mut peer = listed_at(&history, held);
-                assert!(peer.apply(held, changes, Vanishing::Gone));
+                assert!(peer.apply(held, changes, RemovalCause::Gone));
                 assert_eq!(peer.snapshot(), directory.snapshot(), "from {held}");
                 assert_eq!(peer.digest(), directory.digest());
                 told += 1;
@@ -187,7 +189,7 @@
 
 fn listed_at(history: &History, revision: u64) -> Directory {
     let mut directory = Directory::default();
-    directory.replace(snapshot_at(history, revision), Vanishing::Gone);
+    directory.replace(snapshot_at(history, revision), RemovalCause::Gone);
     directory
 }
 
@@ -196,7 +198,7 @@
     let mut directory = listed(1, vec![backend(1, false)]);
     for revision in 1..10_000 {
         let change = DirectoryChange::Changed(backend(1, revision % 2 == 0));
-        directory.apply(revision, changes(revision + 1, vec![change]), Vanishing::Gone);
+        directory.apply(revision, changes(revision + 1, vec![change]), RemovalCause::Gone);
     }
     assert_eq!(directory.changes_since(1), None);
     assert_eq!(directory.changes_since(9_990).map(|changes| changes.changes.len()), Some(1));
@@ -223,7 +225,7 @@
 fn a_back_end_that_starts_again_under_its_name_is_another_one() {
     let mut directory = listed(10, vec![life(1)]);
     let changed = |born_ms| vec![DirectoryChange::Changed(life(born_ms))];
-    assert!(directory.apply(10, changes(11, changed(2)), Vanishing::Gone));
+    assert!(directory.apply(10, changes(11, changed(2)), RemovalCause::Gone));
     assert_eq!(lives(&directory), [life(2).id]);
     assert!(directory.get(&life(1).id).is_none(), "nothing is sent to the life that has ended");
     assert_eq!(directory.get(&life(2).id).map(|backend| backend.address), Some(life(2).address));
@@ -233,33 +235,35 @@
 fn entries_of_two_lives_in_the_wrong_order_lead_to_the_later_one() {
     let changed = |born_ms| DirectoryChange::Changed(life(born_ms));
     let mut watched = listed(10, vec![life(1)]);
-    assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), Vanishing::Gone));
+    assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), RemovalCause::Gone));
     assert_eq!(lives(&watched), [life(2).id]);
     // Whoever lists the earlier life's last entry goes by what it knows.
-    assert!(watched.replace(DirectorySnapshot { revision: 13, backends: vec![life(1)] }, Vanishing::Gone));
+    assert!(watched.replace(DirectorySnapshot { revision: 13, backends: vec![life(1)] }, RemovalCause::Gone));
     assert_eq!(lives(&watched), [life(2).id]);
     let mut peer = listed(10, vec![life(1)]);
     let told = watched.changes_since(12).expect("known");
-    assert!(peer.apply(10, watched.changes_since(10).expect("known"), Vanishing::Gone));
-    assert!(peer.apply(12, told, Vanishing::Gone) || peer.revision() == 13);
+    assert!(peer.apply(10, watched.changes_since(10).expect("known"), RemovalCause::Gone));
+    assert!(peer.apply(12, told, RemovalCause::Gone) || peer.revision() == 13);
     assert_eq!(lives(&peer), [life(2).id]);
 }
 
 #[test]
 fn old_news_of_an_earlier_life_changes_nothing_at_a_node_that_was_cut_off() {
     let mut directory = listed(10, vec![life(1)]);
-    directory.apply(10, changes(15, vec![DirectoryChange::Changed(life(2))]), Vanishing::Gone);
+    directory.apply(10, changes(15, vec![DirectoryChange::Changed(life(2))]), RemovalCause::Gone);
     let old = changes(12, vec![DirectoryChange::Changed(Backend { draining: true, ..life(1) })]);
-    assert!(!directory.apply(10, old, Vanishing::Gone));
-    assert!(!directory.replace(DirectorySnapshot { revision: 12, backends: vec![life(1)] }, Vanishing::Gone));
+    assert!(!directory.apply(10, old, RemovalCause::Gone));
+    assert!(
+        !directory.replace(DirectorySnapshot { revision: 12, backends: vec![life(1)] }, RemovalCause::Gone)
+    );
     assert_eq!(lives(&directory), [life(2).id]);
 }
 
 #[test]
 fn what_was_read_of_the_first_list_is_used_until_the_whole_is_known() {
     let mut directory = Directory::default();
-    assert!(directory.use_meanwhile(vec![backend(1, false)]));
-    assert!(directory.use_meanwhile(vec![backend(1, false), backend(2, true)]));
+    assert!(directory.use_partial_list(vec![backend(1, false)]));
+    assert!(directory.use_partial_list(vec![backend(1, false), backend(2, true)]));
     let usable = |directory: &Directory| -> Vec<BackendId> {
         let mut usable: Vec<BackendId> =
             directory.usable(&"model".into()).map(|backend| backend.id.clone()).collect();
@@ -271,9 +275,9 @@
     assert!(directory.snapshot().backends.is_empty());
     // The first was gone by the time that the whole was read.
     let whole = DirectorySnapshot { revision: 7, backends: vec![backend(3, false)] };
-    assert!(directory.replace(whole, Vanishing::Gone));
+    assert!(directory.replace(whole, RemovalCause::Gone));
     assert_eq!(usable(&directory), ["b3".into()]);
-    assert!(!directory.use_meanwhile(vec![backend(1, false)]), "the whole is known");
+    assert!(!directory.use_partial_list(vec![backend(1, false)]), "the whole is known");
     assert_eq!(usable(&directory), ["b3".into()]);
 }
 
@@ -281,13 +285,13 @@
 #[test]
 fn peers_are_told_all_of_a_list_whose_pages_were_used_before() {
     let mut directory = Directory::default();
-    directory.use_meanwhile(vec![backend(1, false)]);
+    directory.use_partial_list(vec![backend(1, false)]);
     let whole = DirectorySnapshot { revision: 7, backends: vec![backend(1, false), backend(2, false)] };
-    directory.replace(whole, Vanishing::Gone);
+    directory.replace(whole, RemovalCause::Gone);
     let mut peer = Directory::default();
     match directory.changes_since(0) {
-        Some(changes) => assert!(peer.apply(0, changes, Vanishing::Gone)),
-        None => assert!(peer.replace(directory.snapshot(), Vanishing::Gone)),
+        Some(changes) => assert!(peer.apply(0, changes, RemovalCause::Gone)),
+        None => assert!(peer.replace(directory.snapshot(), RemovalCause::Gone)),
     }
     assert_eq!(peer.digest(), directory.digest());
 }
@@ -296,8 +300,8 @@
 #[test]
 fn changes_from_nothing_replace_what_was_read_so_far() {
     let mut directory = Directory::default();
-    directory.use_meanwhile(vec![backend(1, false)]);
-    assert!(directory.apply(0, changes(7, Vec::new()), Vanishing::Gone));
+    directory.use_partial_list(vec![backend(1, false)]);
+    assert!(directory.apply(0, changes(7, Vec::new()), RemovalCause::Gone));
     assert_eq!(directory.usable(&"model".into()).count(), 0);
 }
 
@@ -307,15 +311,15 @@
 fn changes_told_to_a_list_that_has_moved_on_meanwhile_leave_nothing_behind() {
     let mut peer = listed(10, vec![backend(1, false)]);
     // It reads the whole list; in between a back end came and went, of which it knows nothing.
-    peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, Vanishing::Gone);
+    peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, RemovalCause::Gone);
     let mut own = listed(10, vec![backend(1, false)]);
     let told = peer.changes_since(own.revision()).expect("known");
     let came = DirectoryChange::Changed(backend(2, false));
-    assert!(own.apply(10, changes(15, vec![came]), Vanishing::Gone));
-    assert!(!own.apply_told(10, told, Vanishing::Gone), "it leaves out that the other one went");
+    assert!(own.apply(10, changes(15, vec![came]), RemovalCause::Gone));
+    assert!(!own.apply_peer_changes(10, told, RemovalCause::Gone), "it leaves out that the other one went");
     // Asked again from where it stands, the peer knows no changes that lead on from there.
     assert_eq!(peer.changes_since(own.revision()), None);
-    assert!(own.replace(peer.snapshot(), Vanishing::Gone));
+    assert!(own.replace(peer.snapshot(), RemovalCause::Gone));
     assert_eq!(own.snapshot(), peer.snapshot());
 }
 
@@ -324,14 +328,17 @@
 fn a_reading_of_the_same_revision_replaces_a_list_that_differs() {
     let mut directory = listed(10, vec![backend(1, false)]);
     // A watch told a later revision without the change that led to it.
-    directory.apply(10, changes(20, Vec::new()), Vanishing::Gone);
+    directory.apply(10, changes(20, Vec::new()), RemovalCause::Gone);
     let read = DirectorySnapshot { revision: 20, backends: vec![backend(2, false)] };
-    assert!(!directory.clone().replace(read.clone(), Vanishing::Gone), "what peers tell is newer or nothing");
-    assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Changed);
+    assert!(
+        !directory.clone().replace(read.clone(), RemovalCause::Gone),
+        "what peers tell is newer or nothing"
+    );
+    assert_eq!(directory.reconcile(read.clone(), RemovalCause::Gone), Reconciliation::Changed);
     assert_eq!(directory.snapshot(), read);
     assert_eq!(directory.changes_since(10), None, "nobody else is told what led to it");
-    assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Confirmed);
+    assert_eq!(directory.reconcile(read.clone(), RemovalCause::Gone), Reconciliation::Confirmed);
     let older = DirectorySnapshot { revision: 19, backends: vec![backend(1, false)] };
-    assert_eq!(directory.correct(older, Vanishing::Gone), Correction::Outdated);
+    assert_eq!(directory.reconcile(older, RemovalCause::Gone), Reconciliation::Outdated);
     assert_eq!(directory.snapshot(), read);
 }
--- a/crates/beamwall-gateway/tests/fleet_clock.rs
+++ b/crates/beamwall-gateway/tests/fleet_clock.rs
@@ -22,17 +22,17 @@
 }
 
 /// Lets a clock hear `peers`, of which the first `off` are off.
-fn hear(clock: &FleetClock, peers: usize, off: usize, after: Duration) {
+fn record_peer_time(clock: &FleetClock, peers: usize, off: usize, after: Duration) {
     for number in 0..peers {
         let told = if number < off { truth(after) + STEP } else { truth(after) };
-        clock.hear(&format!("n{number}").as_str().into(), told, Instant::now());
+        clock.record_peer_time(&format!("n{number}").as_str().into(), told, Instant::now());
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_step_of_the_own_clock_moves_nothing() {
     let clock = FleetClock::default();
-    hear(&clock, 9, 0, Duration::ZERO);
+    record_peer_time(&clock, 9, 0, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(1)).await;
     let after = Duration::from_secs(1);
     for own in [truth(after), truth(after) + STEP, truth(after) - STEP] {
@@ -43,7 +43,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_third_of_the_clocks_may_be_off() {
     let clock = FleetClock::default();
-    hear(&clock, 9, 3, Duration::ZERO);
+    record_peer_time(&clock, 9, 3, Duration::ZERO);
     assert!(is_near(clock.time(truth(Duration::ZERO) + STEP, Instant::now()), truth(Duration::ZERO)));
 }
 
@@ -52,7 +52,7 @@
     let clock = FleetClock::default();
     let own = truth(Duration::ZERO) + STEP;
     assert_eq!(clock.time(own, Instant::now()), own);
-    hear(&clock, 9, 0, Duration::ZERO);
+    record_peer_time(&clock, 9, 0, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(6)).await;
     let own = truth(Duration::from_secs(6)) + STEP;
     assert_eq!(clock.time(own, Instant::now()), own, "what was heard long ago does not count");
@@ -73,7 +73,7 @@
         if step % 20 == 0 {
             for clock in &clocks {
                 (0..nodes).for_each(|node| {
-                    clock.hear(&format!("n{node}").as_str().into(), own(node), Instant::now())
+                    clock.record_peer_time(&format!("n{node}").as_str().into(), own(node), Instant::now())
                 });
             }
         }
--- a/crates/beamwall-gateway/tests/list_doubts.rs
+++ b/crates/beamwall-gateway/tests/list_doubts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beamwall_gateway::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
-use beamwall_gateway::{Backend, Directory, Doubt, ListDoubts, Vanishing};
+use beamwall_gateway::{Backend, Directory, RemovalCause, StalenessEvidence, StalenessTracker};
 use tokio::time::Instant;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
 fn listed(revision: u64, numbers: &[u8]) -> Directory {
     let mut directory = Directory::default();
     let backends = numbers.iter().map(|number| backend(*number)).collect();
-    assert!(directory.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
+    assert!(directory.replace(DirectorySnapshot { revision, backends }, RemovalCause::Gone));
     directory
 }
 
@@ -41,27 +41,27 @@
 
 #[test]
 fn a_back_end_that_can_not_be_reached_for_long_raises_a_doubt_and_one_that_answers_does_not() {
-    let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1, 2]), Instant::now());
+    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1, 2]), Instant::now());
     for tenth in 0..30 {
         let now = now + SECOND * tenth / 10;
-        doubts.note_unreached(&"b1".into(), now);
-        doubts.note_unreached(&"b2".into(), now);
-        doubts.note_reached(&"b2".into());
-        let expected = (tenth >= 20).then(|| Doubt::Unreached("b1".into()));
+        doubts.note_connect_failure(&"b1".into(), now);
+        doubts.note_connect_failure(&"b2".into(), now);
+        doubts.note_response(&"b2".into());
+        let expected = (tenth >= 20).then(|| StalenessEvidence::Unreachable("b1".into()));
         assert_eq!(doubts.reason(&directory, true, now), expected, "after {tenth} tenths of a second");
     }
 }
 
 #[test]
 fn a_back_end_that_left_the_list_or_was_not_tried_for_long_raises_none() {
-    let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     for second in 0..4 {
-        doubts.note_unreached(&"b1".into(), now + SECOND * second);
-        doubts.note_unreached(&"gone".into(), now + SECOND * second);
+        doubts.note_connect_failure(&"b1".into(), now + SECOND * second);
+        doubts.note_connect_failure(&"gone".into(), now + SECOND * second);
     }
     assert_eq!(doubts.reason(&listed(6, &[2]), true, now + SECOND * 4), None);
     assert_eq!(doubts.reason(&directory, true, now + SECOND * 60), None);
-    doubts.note_unreached(&"b1".into(), now + SECOND * 60);
+    doubts.note_connect_failure(&"b1".into(), now + SECOND * 60);
     assert_eq!(
         doubts.reason(&directory, true, now + SECOND * 60),
         None,
@@ -72,13 +72,13 @@
 /// Readings that find nothing new come at longer and longer pauses: a machine that vanished stays listed for a while.
 #[test]
 fn readings_that_find_nothing_become_rare() {
-    let (doubts, directory, begun) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+    let (doubts, directory, begun) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     let mut readings = 0;
     for tenth in 0..6_000 {
         let now = begun + SECOND * tenth / 10;
-        doubts.note_unreached(&"b1".into(), now);
+        doubts.note_connect_failure(&"b1".into(), now);
         if doubts.reason(&directory, true, now).is_some() {
-            doubts.note_read(false, now);
+            doubts.note_reload(false, now);
             readings += 1;
         }
     }
@@ -91,7 +91,7 @@
     let (right, wrong, now) = (listed(5, &[1, 2]), listed(5, &[1]), Instant::now());
     let list_of = |node: u16| if node == NODES - 1 { &wrong } else { &right };
     let reads = |node: u16| {
-        let doubts = ListDoubts::default();
+        let doubts = StalenessTracker::default();
         for other in (0..NODES).filter(|other| *other != node) {
             doubts.note_peer(peer(other), 5, list_of(other).digest(), now);
         }
@@ -104,32 +104,32 @@
 
 #[test]
 fn peers_of_other_revisions_or_not_heard_for_long_say_nothing() {
-    let (doubts, held, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+    let (doubts, held, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     doubts.note_peer(peer(1), 4, 99, now);
     doubts.note_peer(peer(2), 6, 99, now);
     assert_eq!(doubts.reason(&held, true, now + SECOND), None);
     doubts.note_peer(peer(3), 5, 99, now);
-    assert_eq!(doubts.reason(&held, true, now + SECOND), Some(Doubt::PeersDiffer(1)));
+    assert_eq!(doubts.reason(&held, true, now + SECOND), Some(StalenessEvidence::PeersDisagree(1)));
     assert_eq!(doubts.reason(&held, true, now + SECOND * 5), None);
 }
 
 #[test]
 fn a_list_that_the_store_gave_differently_is_read_once() {
-    let (doubts, held, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
-    doubts.note_store_differs();
-    assert_eq!(doubts.reason(&held, true, now), Some(Doubt::StoreDiffers));
-    doubts.note_read(true, now);
+    let (doubts, held, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    doubts.note_store_disagrees();
+    assert_eq!(doubts.reason(&held, true, now), Some(StalenessEvidence::StoreDisagrees));
+    doubts.note_reload(true, now);
     assert_eq!(doubts.reason(&held, true, now + SECOND * 9), None);
 }
 
 /// Guards against a leaving back end, which refuses connections as it ends, being taken for a fault of the list.
 #[test]
 fn a_leaving_back_end_that_refuses_raises_none() {
-    let (doubts, mut directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+    let (doubts, mut directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     let leaving = DirectoryChange::Changed(Backend { draining: true, ..backend(1) });
-    directory.apply(5, DirectoryChanges { revision: 6, changes: vec![leaving] }, Vanishing::Gone);
+    directory.apply(5, DirectoryChanges { revision: 6, changes: vec![leaving] }, RemovalCause::Gone);
     for second in 0..5 {
-        doubts.note_unreached(&"b1".into(), now + SECOND * second);
+        doubts.note_connect_failure(&"b1".into(), now + SECOND * second);
     }
     assert_eq!(doubts.reason(&directory, true, now + SECOND * 5), None);
 }
--- a/crates/beamwall-gateway/tests/lives.rs
+++ b/crates/beamwall-gateway/tests/lives.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use beamwall_engine_model::ToldSlowness;
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::Candidate;
 use beamwall_gateway::load::OpenLoad;
 use beamwall_gateway::placement_groups::EngineGroup;
 use beamwall_gateway::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
-use beamwall_gateway::{Backend, Directory, Prompt, PromptPart, Reporter, Vanishing};
+use beamwall_gateway::{Backend, Directory, Prompt, PromptPart, RemovalCause, Reporter};
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
 }
 
 /// The only candidate, as the node that places sees it.
-fn candidate(knowledge: &Knowledge, directory: &Directory) -> Candidate {
+fn candidate(knowledge: &BackendState, directory: &Directory) -> Candidate {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -41,9 +41,9 @@
 }
 
 /// Lets a node know all that can be known of a life.
-fn learn(knowledge: &Knowledge, id: &BackendId, now: Instant) {
+fn learn(knowledge: &BackendState, id: &BackendId, now: Instant) {
     knowledge.health.note_unreachable(id, now);
-    knowledge.prefixes.note_read(id, &prompt(), now);
+    knowledge.prefixes.note_prefill(id, &prompt(), now);
     knowledge.queues.add(id, 4_000.0, now);
     knowledge.reports.note(&"n1".into(), std::slice::from_ref(id), now);
     knowledge.reports.note(&"n2".into(), std::slice::from_ref(id), now);
@@ -54,17 +54,17 @@
 }
 
 /// What a peer tells that still knows the life.
-fn tell_loads(knowledge: &Knowledge, id: &BackendId) {
+fn tell_loads(knowledge: &BackendState, id: &BackendId) {
     let load = OpenLoad { requests: 7, prompt_tokens: 9_000 };
     knowledge.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_next_life_of_a_back_end_begins_as_if_nothing_were_known() {
-    let knowledge = Knowledge::default();
+    let knowledge = BackendState::default();
     support::teach(&knowledge.models, support::observed());
     let mut directory = Directory::default();
-    directory.replace(DirectorySnapshot { revision: 1, backends: vec![life(1)] }, Vanishing::Gone);
+    directory.replace(DirectorySnapshot { revision: 1, backends: vec![life(1)] }, RemovalCause::Gone);
     learn(&knowledge, &life(1).id, Instant::now());
     let before = candidate(&knowledge, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
@@ -73,8 +73,8 @@
     assert_eq!(before.reading.expect("a prompt").tokens, 0);
 
     let changes = vec![DirectoryChange::Changed(life(2))];
-    directory.apply(1, DirectoryChanges { revision: 2, changes }, Vanishing::Gone);
-    knowledge.follow(&directory);
+    directory.apply(1, DirectoryChanges { revision: 2, changes }, RemovalCause::Gone);
+    knowledge.retain_listed(&directory);
     tell_loads(&knowledge, &life(1).id);
     tokio::time::advance(Duration::from_millis(10)).await;
     knowledge.models.refresh(Instant::now());
--- a/crates/beamwall-gateway/tests/losses.rs
+++ b/crates/beamwall-gateway/tests/losses.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use beamwall_gateway::losses::{LostAnswers, NextStep};
+use beamwall_gateway::lost_responses::{LostResponses, NextStep};
 use beamwall_model::BackendId;
 use beamwall_quarantine::{Fingerprint, FingerprintHasher};
 use support::backend;
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_first_loss_asks_for_a_probe_and_the_others_wait_for_it() {
-    let losses = LostAnswers::default();
+    let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     assert_eq!(losses.note(&engine.id, request("a"), now), NextStep::Probe);
     assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Wait);
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_back_end_that_lives_is_probed_again_at_its_next_loss() {
-    let losses = LostAnswers::default();
+    let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     assert_eq!(losses.note(&engine.id, request("a"), now), NextStep::Probe);
     losses.end_probe(&engine.id);
@@ -38,7 +38,7 @@
 
 #[test]
 fn what_was_lost_long_ago_does_not_count() {
-    let losses = LostAnswers::default();
+    let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     losses.note(&engine.id, request("a"), now);
     losses.note(&backend("i-2").id, request("b"), now + Duration::from_secs(11));
@@ -47,7 +47,7 @@
 
 #[test]
 fn memory_is_bounded() {
-    let losses = LostAnswers::default();
+    let losses = LostResponses::default();
     let now = Instant::now();
     let names: Vec<String> = (0..2_000).map(|number| format!("i-{number}")).collect();
     for name in &names {
@@ -61,5 +61,5 @@
 
 #[test]
 fn one_that_lost_nothing_here_ends_without_a_word() {
-    assert_eq!(LostAnswers::default().end(&BackendId::new("i-1")), []);
+    assert_eq!(LostResponses::default().end(&BackendId::new("i-1")), []);
 }
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use beamwall_engine_model::Reading;
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::{Expectation, choose};
-use beamwall_gateway::health::HealthBook;
-use beamwall_gateway::placement::ReadingQueues;
+use beamwall_gateway::health::HealthTracker;
+use beamwall_gateway::placement::PrefillQueues;
 use beamwall_gateway::placement_groups::EngineGroup;
 use beamwall_gateway::{Directory, Prompt, PromptPart};
 use beamwall_model::BackendId;
@@ -29,8 +29,8 @@
 }
 
 /// What a node knows that was told of the engines.
-fn knowledge() -> Knowledge {
-    let knowledge = Knowledge::default();
+fn knowledge() -> BackendState {
+    let knowledge = BackendState::default();
     support::teach(&knowledge.models, support::observed());
     knowledge
 }
@@ -40,7 +40,12 @@
     support::reading_ms(Reading::of_rest(0, tokens))
 }
 
-fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, avoided: &[BackendId]) -> BackendId {
+fn place(
+    knowledge: &BackendState,
+    directory: &Directory,
+    prompt: &Prompt,
+    avoided: &[BackendId],
+) -> BackendId {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -59,29 +64,29 @@
 
 #[test]
 fn prompts_placed_at_one_engine_are_read_one_after_another() {
-    let queues = ReadingQueues::default();
+    let queues = PrefillQueues::default();
     let (engine, now) = (BackendId::from("e0"), Instant::now());
     queues.add(&engine, 100.0, now);
     queues.add(&engine, 100.0, now);
-    assert!((queues.left_ms(&engine, now) - 200.0).abs() < 0.001);
+    assert!((queues.prefill_left_ms(&engine, now) - 200.0).abs() < 0.001);
     let later = now + Duration::from_millis(150);
-    assert!((queues.left_ms(&engine, later) - 50.0).abs() < 0.001);
-    assert_eq!(queues.left_ms(&engine, now + Duration::from_secs(1)), 0.0);
+    assert!((queues.prefill_left_ms(&engine, later) - 50.0).abs() < 0.001);
+    assert_eq!(queues.prefill_left_ms(&engine, now + Duration::from_secs(1)), 0.0);
     queues.retain(|_| false);
-    assert_eq!(queues.left_ms(&engine, now), 0.0);
+    assert_eq!(queues.prefill_left_ms(&engine, now), 0.0);
 }
 
 /// On a large deployment nodes tell their open requests up to a second later; until then the node that places for
 /// all sent one request after another to the engine that looked idle.
 #[test]
 fn what_was_placed_counts_as_open_until_it_is_told() {
-    let queues = ReadingQueues::default();
+    let queues = PrefillQueues::default();
     let (engine, now) = (BackendId::from("e0"), Instant::now());
     queues.add(&engine, 1.0, now);
     queues.add(&engine, 1.0, now + Duration::from_millis(300));
-    assert_eq!(queues.untold(&engine, now + Duration::from_millis(300)), 2);
-    assert_eq!(queues.untold(&engine, now + Duration::from_millis(700)), 1);
-    assert_eq!(queues.untold(&"e1".into(), now), 0);
+    assert_eq!(queues.unreported_requests(&engine, now + Duration::from_millis(300)), 2);
+    assert_eq!(queues.unreported_requests(&engine, now + Duration::from_millis(700)), 1);
+    assert_eq!(queues.unreported_requests(&"e1".into(), now), 0);
     // Prompts that take no time to read: only what runs tells the engines apart.
     let (directory, knowledge) = (directory(2), knowledge());
     let first = place(&knowledge, &directory, &own_prompt(1, 1), &[]);
@@ -94,7 +99,7 @@
 fn the_engine_that_is_free_first_is_chosen() {
     on_seeds(2_000, |random| {
         let engines = random.int_in_range(1..=12_usize)?;
-        let (directory, knowledge) = (directory(engines), Knowledge::default());
+        let (directory, knowledge) = (directory(engines), BackendState::default());
         // In this truth the time to begin depends on what is read before alone.
         support::teach(&knowledge.models, support::observed_with(0.0));
         let mut free_at_ms: HashMap<BackendId, f64> = HashMap::new();
@@ -129,7 +134,7 @@
 
 #[test]
 fn engines_that_could_not_be_reached_are_told_for_a_moment() {
-    let (health, now) = (HealthBook::default(), Instant::now());
+    let (health, now) = (HealthTracker::default(), Instant::now());
     health.note_unreachable(&"e0".into(), now);
     health.note(&"e1".into(), true, now);
     assert_eq!(health.unreachable(now), vec![BackendId::from("e0")]);
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use beamwall_engine_model::Reading;
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::{EngineGroup, EngineGroups};
 use beamwall_gateway::{Directory, Prompt, PromptPart};
@@ -35,8 +35,8 @@
     directory.groups(&"pool".into()).expect("engines").clone()
 }
 
-fn knowledge() -> Knowledge {
-    let knowledge = Knowledge::default();
+fn knowledge() -> BackendState {
+    let knowledge = BackendState::default();
     support::teach(&knowledge.models, support::observed_with(0.0));
     knowledge
 }
@@ -49,7 +49,7 @@
     support::reading_ms(Reading::of_rest(0, u64::from(tokens)))
 }
 
-fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
+fn place(knowledge: &BackendState, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -74,7 +74,7 @@
 }
 
 /// Several nodes that each place a part of the prompts at all engines.
-struct Blind(Vec<Knowledge>);
+struct Blind(Vec<BackendState>);
 
 impl Division for Blind {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
@@ -84,7 +84,7 @@
 }
 
 /// A node for each group of engines.
-struct Grouped(Vec<Knowledge>);
+struct Grouped(Vec<BackendState>);
 
 impl Division for Grouped {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 use beamwall_gateway::ports::DirectorySnapshot;
 use beamwall_gateway::quarantine::{Quarantine, TrialPort};
-use beamwall_gateway::{Backend, Directory, Vanishing};
+use beamwall_gateway::{Backend, Directory, RemovalCause};
 use beamwall_http::Pool;
 use beamwall_model::BackendId;
 use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineBook};
@@ -19,7 +19,7 @@
 
 #[async_trait]
 impl TrialPort for NoTrials {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -30,7 +30,7 @@
 
 fn list(directory: &ArcSwap<Directory>, revision: u64, backends: Vec<Backend>) {
     let mut listed = Directory::clone(&directory.load());
-    assert!(listed.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
+    assert!(listed.replace(DirectorySnapshot { revision, backends }, RemovalCause::Gone));
     directory.store(Arc::new(listed));
 }
 
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use beamwall_gateway::ports::CapacityOrder;
-use beamwall_gateway::scaling::{GivenOrder, OrderKey, ScalingInputs, ZoneSupply, due, note_usable, plan};
+use beamwall_gateway::scaling::{
+    OrderKey, ScalingInputs, SubmittedOrder, ZoneSupply, note_usable, orders_due, plan,
+};
 use beamwall_gateway::sizing::Needed;
 use beamwall_model::ServiceName;
 use beamwall_policy::ScalingLimits;
@@ -49,9 +51,9 @@
     let lasting = u32::from(zone == "a");
     ZoneSupply {
         zone: zone.into(),
-        lasting_usable: lasting,
+        on_demand_usable: lasting,
         reclaimable_usable,
-        lasting_ordered: lasting,
+        on_demand_ordered: lasting,
         is_exhausted,
     }
 }
@@ -138,7 +140,7 @@
         planned(&limits, &zones, 1.8, 0)[0].1
     };
     assert_eq!(lasting(supply("a", 0, true)), 3);
-    let booting = ZoneSupply { lasting_ordered: 4, ..supply("a", 0, false) };
+    let booting = ZoneSupply { on_demand_ordered: 4, ..supply("a", 0, false) };
     assert_eq!(lasting(booting.clone()), 3, "the order was taken, but none serves yet");
     assert_eq!(lasting(ZoneSupply { reclaimable_usable: 1, ..booting.clone() }), 2);
     assert_eq!(lasting(ZoneSupply { reclaimable_usable: 2, ..booting }), 1);
@@ -157,17 +159,17 @@
     };
     let orders = plan(&inputs);
     let at = Instant::now();
-    let mut given: BTreeMap<OrderKey, GivenOrder> =
-        orders.iter().map(|order| (OrderKey::of(order), GivenOrder::new(order.wanted, at))).collect();
+    let mut given: BTreeMap<OrderKey, SubmittedOrder> =
+        orders.iter().map(|order| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at))).collect();
     let later = at + Duration::from_secs(60);
-    assert!(due(&orders, &given, &inputs, later).is_empty());
+    assert!(orders_due(&orders, &given, &inputs, later).is_empty());
     // The reclaimable one was taken away: it is ordered again once it had time to boot.
     let taken = [supply("a", 0, false)];
     let inputs = ScalingInputs { zones: &taken, ..inputs };
-    assert!(due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
-    assert_eq!(due(&orders, &given, &inputs, later), [orders[1].clone()]);
-    given.insert(OrderKey::of(&orders[0]), GivenOrder::new(5, at));
-    assert_eq!(due(&orders, &given, &inputs, at), [orders[0].clone()]);
+    assert!(orders_due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
+    assert_eq!(orders_due(&orders, &given, &inputs, later), [orders[1].clone()]);
+    given.insert(OrderKey::of(&orders[0]), SubmittedOrder::new(5, at));
+    assert_eq!(orders_due(&orders, &given, &inputs, at), [orders[0].clone()]);
 }
 
 /// Guards against: a zone's reclaimable back ends are taken away while none can be had, and the holder doesn't learn it until they
@@ -186,18 +188,18 @@
     let (all, fewer) = ([supply("a", 3, false)], [supply("a", 2, false)]);
     let orders = plan(&inputs(&all));
     let at = Instant::now();
-    let given_now = |order: &CapacityOrder| (OrderKey::of(order), GivenOrder::new(order.wanted, at));
-    let mut given: BTreeMap<OrderKey, GivenOrder> = orders.iter().map(given_now).collect();
+    let given_now = |order: &CapacityOrder| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at));
+    let mut given: BTreeMap<OrderKey, SubmittedOrder> = orders.iter().map(given_now).collect();
     let soon = at + Duration::from_millis(500);
-    assert!(due(&orders, &given, &inputs(&fewer), soon).is_empty(), "they are still to come");
+    assert!(orders_due(&orders, &given, &inputs(&fewer), soon).is_empty(), "they are still to come");
     note_usable(&mut given, &service, &all);
-    assert!(due(&orders, &given, &inputs(&all), soon).is_empty());
+    assert!(orders_due(&orders, &given, &inputs(&all), soon).is_empty());
     note_usable(&mut given, &service, &fewer);
-    assert_eq!(due(&orders, &given, &inputs(&fewer), soon), [orders[1].clone()]);
+    assert_eq!(orders_due(&orders, &given, &inputs(&fewer), soon), [orders[1].clone()]);
     // Once it was ordered again it is waited for.
-    given.insert(OrderKey::of(&orders[1]), GivenOrder::new(orders[1].wanted, soon));
+    given.insert(OrderKey::of(&orders[1]), SubmittedOrder::new(orders[1].wanted, soon));
     note_usable(&mut given, &service, &fewer);
-    assert!(due(&orders, &given, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
+    assert!(orders_due(&orders, &given, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
 }
 
 /// On a busy day three zones lost their reclaimable engines one after another, six seconds apart, and lasting
@@ -217,7 +219,7 @@
 #[test]
 fn a_new_holder_keeps_the_stand_ins_that_it_finds() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
-    let found = |zone| ZoneSupply { lasting_usable: 6, lasting_ordered: 6, ..supply(zone, 5, false) };
+    let found = |zone| ZoneSupply { on_demand_usable: 6, on_demand_ordered: 6, ..supply(zone, 5, false) };
     let zones = [found("a"), found("b")];
     // Load 12 needs twenty: ten reclaimable ones and ten lasting ones.
     assert_eq!(wanted_at(12.0, &zones, &limits, false), [6, 4]);
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -4,7 +4,10 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use beamwall_engine_model::{ServiceEstimates, Workload};
-use beamwall_gateway::sizing::{self, AFTER_LOSS, Objectives, STANDING_IN, USUAL, fewest, usual_fullness};
+use beamwall_gateway::sizing::{
+    self, AFTER_LOSS_UTILIZATION, NORMAL_UTILIZATION, Objectives, SUBSTITUTE_UTILIZATION, min_back_ends,
+    normal_utilization,
+};
 use beamwall_seeds::on_seeds;
 
 const SLOTS: u32 = 24;
@@ -30,11 +33,11 @@
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)?;
-        let count = fewest(work, &estimates, SLOTS, OBJECTIVES, USUAL).expect("known");
+        let count = min_back_ends(work, &estimates, SLOTS, OBJECTIVES, NORMAL_UTILIZATION).expect("known");
         let is_kept = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
-            one.running <= f64::from(SLOTS) * USUAL.slots
-                && one.reading_share <= USUAL.reading
+            one.running <= f64::from(SLOTS) * NORMAL_UTILIZATION.slots
+                && one.reading_share <= NORMAL_UTILIZATION.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -53,8 +56,8 @@
         let more = work * (1.0 + f64::from(random.int_in_range(0..=50_u32)?) / 10.0);
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         assert!(needed.usual >= needed.standing_in && needed.standing_in >= needed.after_loss);
-        for fullness in [USUAL, STANDING_IN, AFTER_LOSS] {
-            let count = |work| fewest(work, &estimates, SLOTS, OBJECTIVES, fullness).expect("known");
+        for fullness in [NORMAL_UTILIZATION, SUBSTITUTE_UTILIZATION, AFTER_LOSS_UTILIZATION] {
+            let count = |work| min_back_ends(work, &estimates, SLOTS, OBJECTIVES, fullness).expect("known");
             assert!(count(more) >= count(work));
         }
         Ok(())
@@ -63,7 +66,10 @@
 
 #[test]
 fn no_work_needs_none_and_unknown_engines_have_no_number() {
-    assert_eq!(fewest(Workload::default(), &estimates(), SLOTS, OBJECTIVES, USUAL), Some(0));
+    assert_eq!(
+        min_back_ends(Workload::default(), &estimates(), SLOTS, OBJECTIVES, NORMAL_UTILIZATION),
+        Some(0)
+    );
     let work = Workload { requests: 5.0, tokens: 1_000.0, pairs: 0.0, events: 10.0 };
     assert_eq!(sizing::needed(work, &ServiceEstimates::default(), SLOTS, OBJECTIVES), None);
 }
@@ -74,7 +80,8 @@
     let work = Workload { requests: 5.0, tokens: 5_000.0, pairs: 0.0, events: 50.0 };
     let impossible = Objectives { first_event_ms: 1.0, pause_ms: Some(1.0) };
     let free = Objectives { first_event_ms: f64::MAX, pause_ms: None };
-    let count = |objectives| fewest(work, &estimates(), SLOTS, objectives, USUAL).expect("known");
+    let count =
+        |objectives| min_back_ends(work, &estimates(), SLOTS, objectives, NORMAL_UTILIZATION).expect("known");
     assert_eq!(count(impossible), count(free));
 }
 
@@ -83,11 +90,11 @@
 #[test]
 fn many_back_ends_may_be_fuller_than_few() {
     for count in 1..=25 {
-        assert_eq!(usual_fullness(count), USUAL, "{count} back ends");
+        assert_eq!(normal_utilization(count), NORMAL_UTILIZATION, "{count} back ends");
     }
-    let mut before = USUAL.reading;
+    let mut before = NORMAL_UTILIZATION.reading;
     for count in [30, 60, 100, 160, 1_000, 10_000] {
-        let fullness = usual_fullness(count);
+        let fullness = normal_utilization(count);
         assert!(fullness.reading >= before && fullness.reading <= 0.6, "{fullness:?} of {count} back ends");
         before = fullness.reading;
         // What is left when every fifth is lost is less than full.
@@ -104,7 +111,7 @@
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         let is_kept = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
-            let fullness = usual_fullness(count);
+            let fullness = normal_utilization(count);
             one.running <= f64::from(SLOTS) * fullness.slots
                 && one.reading_share <= fullness.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use beamwall_engine_model::{EngineModels, FirstEvent, Reading};
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::EngineGroup;
 use beamwall_gateway::{Directory, Prompt, PromptPart, Reporter};
@@ -45,14 +45,14 @@
 
 struct Fleet {
     directory: Directory,
-    placing: Knowledge,
+    placing: BackendState,
     gateways: Vec<EngineModels<Reporter>>,
     under_way: BinaryHeap<UnderWay>,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let placing = Knowledge::default();
+        let placing = BackendState::default();
         support::teach(&placing.models, support::observed_with(0.0));
         let teach = |_| {
             let models = EngineModels::default();
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -15,7 +15,7 @@
 
 use beamwall_engine_model::{FirstEvent, Reading};
 use beamwall_gateway::Choice;
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::candidates::BackendState;
 use beamwall_model::BackendId;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -33,13 +33,13 @@
 const TOKENS: u64 = 4_000;
 
 struct Watched {
-    knowledge: Knowledge,
+    knowledge: BackendState,
     random: SmallRng,
 }
 
 impl Watched {
     fn new(seed: u64) -> Self {
-        let knowledge = Knowledge::default();
+        let knowledge = BackendState::default();
         support::teach(&knowledge.models, support::observed_with(0.0));
         Self { knowledge, random: SmallRng::seed_from_u64(seed) }
     }
--- a/crates/beamwall-gateway/tests/startup.rs
+++ b/crates/beamwall-gateway/tests/startup.rs
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use beamwall_gateway::startup::{LONGEST_WAIT, wait_known};
+use beamwall_gateway::startup::{MAX_READY_WAIT, wait_until_ready};
 use tokio::time::Instant;
 
 /// Time after which the policy and the back ends are known.
@@ -22,7 +22,7 @@
 async fn wait(known_after: Duration, patience: Option<Duration>) -> (bool, Duration) {
     let begun = Instant::now();
     let is_known = || begun.elapsed() >= known_after;
-    wait_known(is_known, patience).await;
+    wait_until_ready(is_known, patience).await;
     (is_known(), begun.elapsed())
 }
 
@@ -41,7 +41,7 @@
         looks.set(looks.get() + 1);
         true
     };
-    wait_known(look, Some(PATIENCE)).await;
+    wait_until_ready(look, Some(PATIENCE)).await;
     assert_eq!(looks.get(), 1);
 }
 
@@ -52,7 +52,7 @@
     let never = Duration::from_secs(3_600);
     for patience in [None, Some(PATIENCE), Some(Duration::from_secs(60))] {
         let (is_known, waited) = wait(never, patience).await;
-        assert!(!is_known && waited <= LONGEST_WAIT, "{waited:?} of a patience of {patience:?}");
+        assert!(!is_known && waited <= MAX_READY_WAIT, "{waited:?} of a patience of {patience:?}");
     }
     let hurried = Duration::from_millis(600);
     let (_, waited) = wait(never, Some(hurried)).await;
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use beamwall_engine_model::{EngineModels, FirstEvent, Reading, ServiceEstimates, ServiceStatistics};
 use beamwall_gateway::forward::Call;
 use beamwall_gateway::ports::DirectorySnapshot;
-use beamwall_gateway::{Backend, Directory, Prompt, Reporter, Vanishing};
+use beamwall_gateway::{Backend, Directory, Prompt, RemovalCause, Reporter};
 use beamwall_model::BackendId;
 use beamwall_policy::{Route, RouteKind, Tenant, TenantRef};
 use beamwall_quarantine::Admission;
@@ -89,7 +89,7 @@
     let backend = |number: usize| Backend { slots, ..backend(&format!("e{number}")) };
     let mut directory = Directory::default();
     let backends = (0..engines).map(backend).collect();
-    directory.replace(DirectorySnapshot { revision: 1, backends }, Vanishing::Gone);
+    directory.replace(DirectorySnapshot { revision: 1, backends }, RemovalCause::Gone);
     directory
 }
 
@@ -132,7 +132,7 @@
         prompt: Some(Prompt { prompt_tokens, output_tokens: 10, parts: Vec::new() }),
         last_event: None,
         received: now,
-        asleep_before: beamwall_clock::asleep(),
+        suspended_before: beamwall_clock::asleep(),
         deadline: now,
         policy_version: 1,
     }
--- a/crates/beamwall-gateway/tests/suspension.rs
+++ b/crates/beamwall-gateway/tests/suspension.rs
@@ -13,7 +13,7 @@
 fn the_time_of_day_that_peers_told_has_run_on() {
     let clock = FleetClock::default();
     for peer in ["n1", "n2"] {
-        clock.hear(&peer.into(), SystemTime::now(), now());
+        clock.record_peer_time(&peer.into(), SystemTime::now(), now());
     }
     simulation::suspend_for(ASLEEP);
     // In the simulation the own clock of the day has stood still, and is outvoted by two.
@@ -25,7 +25,7 @@
 fn what_peers_told_long_before_does_not_count() {
     let clock = FleetClock::default();
     for peer in ["n1", "n2"] {
-        clock.hear(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
+        clock.record_peer_time(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
     }
     simulation::suspend_for(Duration::from_secs(10));
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
@@ -38,7 +38,7 @@
 async fn the_time_of_an_open_request_is_up_soon_after_the_machine_wakes() {
     let mut call = support::call(0, None, 100);
     call.deadline = call.received + ASLEEP;
-    let mut time_is_up = std::pin::pin!(call.time_is_up());
+    let mut time_is_up = std::pin::pin!(call.deadline_elapsed());
     let at_once = tokio::time::timeout(Duration::from_millis(100), &mut time_is_up).await;
     assert!(at_once.is_err(), "{:?} are left", call.remaining());
     simulation::suspend_for(ASLEEP);
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -45,7 +45,7 @@
     survivor.merge(&"n1".into(), 1, killed.recent(3));
     for _ in 0..2 {
         // Twice: what is known counts once.
-        for (node, life, counts) in survivor.lives(3) {
+        for (node, life, counts) in survivor.generations(3) {
             started.merge(&node, life, counts);
         }
     }
@@ -62,7 +62,7 @@
         counted.record(&"alder".into(), second(life * 5));
         ledger.merge(&"n1".into(), life, counted.recent(3));
     }
-    assert!(ledger.lives(3).len() < 20);
+    assert!(ledger.generations(3).len() < 20);
     assert_eq!(ledger.total(99).counts, [("alder".into(), 1)].into());
 }
 
@@ -95,20 +95,20 @@
 /// Guards against usage that is lost with all nodes: what was written down and what later lives count are summed.
 #[test]
 fn what_was_written_down_before_all_lives_ended_is_carried_on() {
-    let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
-    let other = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
+    let before = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
+    let other = UsageLedger::new(WINDOW).for_generation(&"n2".into(), 1);
     before.record(&"alder".into(), second(10));
     other.record(&"alder".into(), second(11));
     before.merge(&"n2".into(), 1, other.recent(3));
-    let written = before.to_carry(2);
-    let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(written);
+    let written = before.to_checkpoint(2);
+    let after = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 2);
+    after.restore_checkpoint(written);
     after.record(&"alder".into(), second(13));
     assert_eq!(after.total(2).counts, [("alder".into(), 3)].into());
     // And once more, with a life that is known from others as well.
-    let last = UsageLedger::new(WINDOW).of_life(&"n3".into(), 1);
+    let last = UsageLedger::new(WINDOW).for_generation(&"n3".into(), 1);
     last.merge(&"n2".into(), 1, other.recent(3));
-    last.carry(after.to_carry(2));
+    last.restore_checkpoint(after.to_checkpoint(2));
     last.record(&"birch".into(), second(14));
     assert_eq!(last.total(2).counts, [("alder".into(), 3), ("birch".into(), 1)].into());
 }
@@ -116,16 +116,16 @@
 /// A successor that has heard the lives counts none of them twice, also where they went on counting.
 #[test]
 fn lives_that_were_written_down_and_go_on_count_once() {
-    let holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
-    let successor = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
+    let holder = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
+    let successor = UsageLedger::new(WINDOW).for_generation(&"n2".into(), 1);
     holder.record(&"alder".into(), second(10));
     successor.record(&"alder".into(), second(10));
     holder.merge(&"n2".into(), 1, successor.recent(3));
-    let written = holder.to_carry(2);
+    let written = holder.to_checkpoint(2);
     holder.record(&"alder".into(), second(11));
     successor.record(&"alder".into(), second(12));
     successor.merge(&"n1".into(), 1, holder.recent(3));
-    successor.carry(written);
+    successor.restore_checkpoint(written);
     assert_eq!(successor.total(2).counts, [("alder".into(), 4)].into());
 }
 
@@ -135,7 +135,7 @@
     beamwall_seeds::on_seeds(2_000, |random| {
         let mut lives = [0_u64; 3];
         let new = |node: usize, life: u64| {
-            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), life)
+            UsageLedger::new(WINDOW).for_generation(&format!("n{node}").as_str().into(), life)
         };
         let mut nodes: Vec<UsageLedger> = (0..3).map(|node| new(node, 0)).collect();
         let (mut ran, mut written, mut written_total) = (0, None, 0);
@@ -154,11 +154,11 @@
                 }
                 4 => {
                     // One takes the duty over and writes down what it knows.
-                    nodes[node].carry(written.take().unwrap_or_default());
+                    nodes[node].restore_checkpoint(written.take().unwrap_or_default());
                     let total = nodes[node].total(2).counts.values().sum();
                     assert!(total >= written_total, "{total} of {written_total} written down");
                     assert!(total <= ran, "{total} of {ran}");
-                    (written, written_total) = (Some(nodes[node].to_carry(0)), total);
+                    (written, written_total) = (Some(nodes[node].to_checkpoint(0)), total);
                 }
                 _ => {
                     lives[node] += 1;
@@ -175,10 +175,10 @@
 #[test]
 fn what_zones_count_after_all_nodes_were_killed_comes_on_top() {
     let sum = |requests| vec![WindowCounts { window: 2, counts: [("alder".into(), requests)].into() }];
-    let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
+    let before = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
     before.merge_zone(&"b".into(), sum(10));
-    let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(before.to_carry(2));
+    let after = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 2);
+    after.restore_checkpoint(before.to_checkpoint(2));
     after.merge_zone(&"b".into(), sum(4));
     assert_eq!(after.total(2).counts, [("alder".into(), 14)].into());
 }
--- a/crates/beamwall-node/src/actors/directory.rs
+++ b/crates/beamwall-node/src/actors/directory.rs
@@ -7,7 +7,7 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::{BackendsLapsed, DirectoryChanged, LapsedBackendsDropped};
 use beamwall_gateway::ports::{DirectoryChanges, DirectorySnapshot};
-use beamwall_gateway::{Backend, Correction, Directory, Gateway, Vanishing};
+use beamwall_gateway::{Backend, Directory, Gateway, Reconciliation, RemovalCause};
 use kameo::actor::ActorRef;
 use kameo::message::{Context, Message};
 use kameo::{Actor, Reply};
@@ -42,14 +42,18 @@
     }
 
     /// What it means that a back end is not listed any more.
-    fn vanishing(&self) -> Vanishing {
-        if self.status.was_away(BACKENDS, LAPSED_FOR) { Vanishing::MayHaveLapsed } else { Vanishing::Gone }
+    fn vanishing(&self) -> RemovalCause {
+        if self.status.was_away(BACKENDS, LAPSED_FOR) {
+            RemovalCause::MaybeExpired
+        } else {
+            RemovalCause::Gone
+        }
     }
 
     /// Publishes a newer list. Where entries have lapsed by it, they are dropped after a while.
     fn publish_newer(&mut self, source: String, before: &Before, actor: ActorRef<Self>) {
         self.publish(source, before.digest);
-        let lapsed = self.directory.lapsed();
+        let lapsed = self.directory.expired();
         if lapsed > before.lapsed {
             emit(&BackendsLapsed { lapsed: lapsed.to_string(), kept_ms: LAPSED_FOR.as_millis().to_string() });
             tokio::spawn(async move {
@@ -60,7 +64,7 @@
     }
 
     fn before(&self) -> Before {
-        Before { digest: self.directory.digest(), lapsed: self.directory.lapsed() }
+        Before { digest: self.directory.digest(), lapsed: self.directory.expired() }
     }
 
     fn publish(&mut self, source: String, digest_before: u64) {
@@ -68,7 +72,7 @@
         if self.directory.digest() == digest_before {
             return;
         }
-        self.gateway.forwarder.quarantine.compare_lives(&before, &self.directory);
+        self.gateway.forwarder.quarantine.detect_restarts(&before, &self.directory);
         let draining = self.directory.backends().filter(|backend| backend.draining).count();
         emit(&DirectoryChanged {
             revision: self.directory.revision().to_string(),
@@ -76,7 +80,7 @@
             usable: (self.directory.backends().count() - draining).to_string(),
             draining: draining.to_string(),
         });
-        self.gateway.forwarder.knowledge.follow(&self.directory);
+        self.gateway.forwarder.backend_state.retain_listed(&self.directory);
         self.news.notify_one();
     }
 }
@@ -119,7 +123,7 @@
 
 /// What a reading says of the list that was held.
 #[derive(Debug, Clone, Copy, Reply)]
-pub struct ReadingTaken(pub Correction);
+pub struct ReadingTaken(pub Reconciliation);
 
 impl Message<TakeReading> for DirectoryActor {
     type Reply = ReadingTaken;
@@ -131,8 +135,8 @@
         context: &mut Context<Self, Self::Reply>,
     ) -> ReadingTaken {
         let before = self.before();
-        let correction = self.directory.correct(message.snapshot, self.vanishing());
-        if correction != Correction::Outdated {
+        let correction = self.directory.reconcile(message.snapshot, self.vanishing());
+        if correction != Reconciliation::Outdated {
             self.publish_newer(message.source, &before, context.actor_ref().clone());
         }
         ReadingTaken(correction)
@@ -150,9 +154,9 @@
 
     /// Uses them until the whole list is known. Peers are not told of them.
     async fn handle(&mut self, message: UseMeanwhile, _: &mut Context<Self, Self::Reply>) {
-        if self.directory.use_meanwhile(message.read) {
+        if self.directory.use_partial_list(message.read) {
             self.view.store(Arc::new(self.directory.clone()));
-            self.gateway.forwarder.knowledge.follow(&self.directory);
+            self.gateway.forwarder.backend_state.retain_listed(&self.directory);
         }
     }
 }
@@ -197,7 +201,7 @@
     /// Applies the changes if just that revision is still held; answers whether they were taken.
     async fn handle(&mut self, message: ApplyTold, context: &mut Context<Self, Self::Reply>) -> bool {
         let before = self.before();
-        let taken = self.directory.apply_told(message.held, message.changes, self.vanishing());
+        let taken = self.directory.apply_peer_changes(message.held, message.changes, self.vanishing());
         if taken {
             self.publish_newer(message.source, &before, context.actor_ref().clone());
         }
@@ -213,11 +217,11 @@
 
     /// Takes those that are not listed again for gone.
     async fn handle(&mut self, _: DropLapsed, _: &mut Context<Self, Self::Reply>) {
-        let lapsed = self.directory.lapsed();
-        if self.directory.drop_lapsed() {
+        let lapsed = self.directory.expired();
+        if self.directory.drop_expired() {
             emit(&LapsedBackendsDropped { dropped: lapsed.to_string() });
             self.view.store(Arc::new(self.directory.clone()));
-            self.gateway.forwarder.knowledge.follow(&self.directory);
+            self.gateway.forwarder.backend_state.retain_listed(&self.directory);
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/directories.rs
+++ b/crates/beamwall-node/src/gateway/directories.rs
@@ -41,7 +41,7 @@
     /// newer one.
     pub(super) fn hear_directory(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
         let directory = self.directory.load();
-        self.gateway.forwarder.knowledge.doubts.note_peer(peer, revision, digest, Instant::now());
+        self.gateway.forwarder.backend_state.staleness.note_peer(peer, revision, digest, Instant::now());
         let differs = digest != directory.digest();
         if differs && self.directories.note(peer, revision, directory.revision()) {
             tokio::spawn(self.clone().fetch_directory());
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -130,13 +130,13 @@
             in_zone.filter(|backend| backend.reclaimable == reclaimable).count() as u32
         };
         let key = |reclaimable| OrderKey::new(&service.name, zone, reclaimable);
-        let lasting_usable = usable(false);
+        let on_demand_usable = usable(false);
         ZoneSupply {
             zone: zone.clone(),
-            lasting_usable,
+            on_demand_usable,
             reclaimable_usable: usable(true),
             // Where nothing is kept of what a predecessor ordered, it is known what came of it.
-            lasting_ordered: book.ordered(&key(false)).unwrap_or(lasting_usable),
+            on_demand_ordered: book.ordered(&key(false)).unwrap_or(on_demand_usable),
             is_exhausted: book.is_exhausted(&key(true)),
         }
     }
@@ -180,6 +180,6 @@
             floor: self.floor(&service.name),
         };
         scaling::note_usable(book.given_mut(), inputs.service, &zones);
-        scaling::due(&scaling::plan(&inputs), book.given(), &inputs, Instant::now())
+        scaling::orders_due(&scaling::plan(&inputs), book.given(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/followed_demand.rs
+++ b/crates/beamwall-node/src/gateway/duties/followed_demand.rs
@@ -42,7 +42,7 @@
         self.work = newest.max(self.work.mixed_with(newest, LOAD_FALL_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
-        if self.is_unknown() && directory.is_whole() {
+        if self.is_unknown() && directory.is_fully_loaded() {
             let usable = directory.usable(service).count();
             if usable > self.found {
                 self.found = usable;
--- a/crates/beamwall-node/src/gateway/duties/kept.rs
+++ b/crates/beamwall-node/src/gateway/duties/kept.rs
@@ -83,7 +83,7 @@
         needs.extend(state.needs.clone());
         DutyCheckpoint {
             first_open_window: Some(state.first_open_window),
-            usage: self.gateway.forwarder.usage.to_carry(state.first_open_window),
+            usage: self.gateway.forwarder.usage.to_checkpoint(state.first_open_window),
             needs,
             orders: state.orders.clone(),
         }
@@ -110,7 +110,7 @@
         });
         state.taken_needs = needs;
         state.orders = orders;
-        self.gateway.forwarder.usage.carry(usage);
+        self.gateway.forwarder.usage.restore_checkpoint(usage);
     }
 }
 
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -179,7 +179,7 @@
 
     async fn do_due(&self, tenure: &mut Tenure) {
         // On a part of the list a rollout would seem to be done, and back ends that are not known yet would be given up.
-        let knows_all = self.directory.load().is_whole();
+        let knows_all = self.directory.load().is_fully_loaded();
         if let Some(rollouts) = self.rollouts.as_ref().filter(|_| knows_all) {
             rollouts.decide_due(&mut tenure.rollouts, &tenure.holding).await;
         }
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -38,7 +38,7 @@
 impl RolloutDuty {
     /// A duty within `bounds`.
     pub(super) fn new(gateway: Arc<Gateway>, store: Arc<dyn RolloutStore>, bounds: Bounds) -> Self {
-        let news = gateway.news.clone();
+        let news = gateway.peer_notify.clone();
         Self { gateway, store, bounds, news }
     }
 
@@ -106,7 +106,7 @@
 
     fn supply(&self, id: &OrderId) -> Supply {
         let directory = self.gateway.forwarder.directory.load();
-        let loads = &self.gateway.forwarder.knowledge.loads;
+        let loads = &self.gateway.forwarder.backend_state.loads;
         let mut supply = Supply::default();
         for backend in directory.backends().filter(|backend| backend.service == id.service) {
             let is_new = backend.version == id.target;
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -124,7 +124,7 @@
 impl Exchange {
     /// Requests open at this node.
     pub fn open_requests(&self) -> u32 {
-        self.gateway.forwarder.knowledge.loads.own().iter().map(|(_, load)| load.requests).sum()
+        self.gateway.forwarder.backend_state.loads.own().iter().map(|(_, load)| load.requests).sum()
     }
 
     /// Members whose usage may not be complete here, because they are not heard and may still serve. Where the machine
@@ -283,7 +283,7 @@
             demands: Vec::new(),
             models: Vec::new(),
             slowness: Vec::new(),
-            loads: beat::encode_loads(forwarder.knowledge.loads.own()),
+            loads: beat::encode_loads(forwarder.backend_state.loads.own()),
             life: self.life,
             usage: beat::encode_usage(forwarder.usage.recent(TOLD_WINDOWS)),
             members_known: u32::try_from(self.members.load().members.len()).unwrap_or(u32::MAX),
@@ -401,7 +401,11 @@
     fn take_beat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayBeat) {
         if beat.time_ms > 0 {
             let told = UNIX_EPOCH + Duration::from_millis(beat.time_ms);
-            self.gateway.forwarder.clock.hear(&NodeId::new(&envelope.sender), told, beamwall_clock::now());
+            self.gateway.forwarder.clock.record_peer_time(
+                &NodeId::new(&envelope.sender),
+                told,
+                beamwall_clock::now(),
+            );
         }
         if beat.wants_answer {
             self.reply(envelope, Body::GatewayBeat(self.to_reply(Vec::new())));
@@ -450,7 +454,7 @@
         }
         let reporter = Reporter::Node(node.clone());
         let forwarder = &self.gateway.forwarder;
-        forwarder.knowledge.loads.set_peer(&reporter, beat::decode_loads(beat.loads));
+        forwarder.backend_state.loads.set_peer(&reporter, beat::decode_loads(beat.loads));
         forwarder.usage.merge(&node, beat.life, beat::decode_usage(beat.usage));
         if !beat.demands.is_empty() {
             forwarder.demand.set_peer(&reporter, beat::decode_demands(&beat.demands));
--- a/crates/beamwall-node/src/gateway/kept_models.rs
+++ b/crates/beamwall-node/src/gateway/kept_models.rs
@@ -62,7 +62,7 @@
     }
 
     fn known(&self) -> KeptModels {
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         let observed = models.sum_of(|_| true).into_iter();
         let known = observed.filter(|(service, _)| models.estimates(service).is_known());
         known.map(|(service, sums)| (service.to_string(), sums.to_numbers())).collect()
@@ -96,7 +96,7 @@
         Some((ServiceName::new(service), sums.limited_to(RECALLED_SAMPLES)))
     };
     let recalled = kept.iter().filter_map(read).collect();
-    gateway.forwarder.knowledge.models.set_peer(&Reporter::Store, recalled);
+    gateway.forwarder.backend_state.models.set_peer(&Reporter::Store, recalled);
     let services: Vec<&str> = kept.keys().map(String::as_str).collect();
     emit(&EngineModelsRecalled { services: services.join(","), version: object.version.to_string() });
 }
--- a/crates/beamwall-node/src/gateway/kept_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/kept_quarantine.rs
@@ -87,7 +87,7 @@
 
 #[async_trait]
 impl TrialPort for KeptQuarantine {
-    async fn take(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool {
+    async fn claim_trial(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool {
         let grant = |kept: &mut KeptRequests| match kept.get_mut(&request.to_hex()) {
             // Of one number there is one trial, whenever it is asked for.
             Some(known) if known.trials < number => known.note_trial(number, now_ms),
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -32,7 +32,7 @@
             life,
             usage: beat::encode_usage(usage),
         };
-        let lives = self.gateway.forwarder.usage.lives(TOLD_WINDOWS);
+        let lives = self.gateway.forwarder.usage.generations(TOLD_WINDOWS);
         UsageKnown { lives: lives.into_iter().map(life).collect() }
     }
 
--- a/crates/beamwall-node/src/gateway/listing.rs
+++ b/crates/beamwall-node/src/gateway/listing.rs
@@ -117,7 +117,7 @@
 
     /// Lets callers be served by what was read so far, where no whole list is known.
     async fn use_meanwhile(&self, read: &DirectorySnapshot) {
-        if !self.known.load().is_whole() {
+        if !self.known.load().is_fully_loaded() {
             // The actor ends only with the node.
             let _ = self.directory.tell(UseMeanwhile { read: read.backends.clone() }).await;
         }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -46,9 +46,9 @@
 use beamwall_config::GatewaySettings;
 use beamwall_events::emit;
 use beamwall_events::internal_events::NodeStarted;
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::candidates::BackendState;
 use beamwall_gateway::choice::Chooser;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::forward::Forwarder;
 use beamwall_gateway::metrics::GatewayMetrics;
@@ -316,13 +316,13 @@
         dialect: ports.dialect.clone(),
         pool,
         directory,
-        knowledge: Knowledge::default(),
+        backend_state: BackendState::default(),
         chooser: Chooser::new(settings.choice),
         placement,
-        demand: DemandBook::default(),
+        demand: DemandTracker::default(),
         rollouts: RolloutBook::default(),
         retries: RetryBudgets::new(retries, nodes),
-        usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, life),
+        usage: UsageLedger::new(settings.usage_window).for_generation(&settings.node, life),
         clock,
         quarantine: Arc::new(quarantine),
         metrics: GatewayMetrics::new(registry)?,
@@ -335,7 +335,7 @@
     };
     let quotas =
         QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes).tolerating(tolerance).started_at(life);
-    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
+    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, peer_notify: Arc::default() }))
 }
 
 /// A ratio in whole hundredths.
@@ -391,7 +391,7 @@
         )),
         directory,
         readiness: readiness.clone(),
-        news: gateway.news.clone(),
+        news: gateway.peer_notify.clone(),
         versions,
         started: Instant::now(),
         demand_closed: Mutex::new(Instant::now()),
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -26,7 +26,7 @@
         if !self.models_refreshed.admit(REFRESH_PERIOD) {
             return;
         }
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         for service in models.refresh(Instant::now()) {
             let estimates = models.estimates(&service);
             emit(&EngineModelLearnt {
@@ -40,7 +40,7 @@
 
     /// What this node observed, for its peers; of services only now and then.
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         let slowness = beat::encode_slowness(models.own_slowness(Instant::now()));
         let told = if self.is_time_to_tell_models() { models.own() } else { Vec::new() };
         (beat::encode_models(told), slowness)
@@ -48,7 +48,7 @@
 
     /// What the nodes of this zone observed, for other zones.
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
         let slowness = beat::encode_slowness(models.slowness_of(is_node, Instant::now()));
         (beat::encode_models(models.sum_of(is_node)), slowness)
@@ -61,7 +61,7 @@
         models: &[ServiceModel],
         slowness: &[BackendSlowness],
     ) {
-        let known = &self.gateway.forwarder.knowledge.models;
+        let known = &self.gateway.forwarder.backend_state.models;
         if !models.is_empty() {
             known.set_peer(reporter, beat::decode_models(models));
         }
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/placing.rs
@@ -11,7 +11,7 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::PlacementUnanswered;
 use beamwall_gateway::placement_groups::EngineGroup;
-use beamwall_gateway::{Choice, PlacementAnswer, PlacementPort, PlacementQuestion, Prompt, PromptPart};
+use beamwall_gateway::{Choice, PlacementOutcome, PlacementPort, PlacementQuery, Prompt, PromptPart};
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use beamwall_peer::gateway_message::{PlacementPart, PlacementReply, PlacementRequest};
 use beamwall_peer::{Body, Envelope, PeerNetwork};
@@ -65,17 +65,17 @@
 
 #[async_trait]
 impl PlacementPort for PeerPlacement {
-    async fn place(&self, question: &PlacementQuestion) -> PlacementAnswer {
+    async fn place(&self, question: &PlacementQuery) -> PlacementOutcome {
         let view = self.members.load_full();
         let placer = self.lock().find(&self.asker, &view, question.group, Instant::now());
-        let Placer::Peer(placer) = placer else { return PlacementAnswer::PlaceHere };
+        let Placer::Peer(placer) = placer else { return PlacementOutcome::PlaceLocally };
         let body = Body::PlacementRequest(encode(question));
         let envelope = Envelope { body: Some(body), ..self.envelope.clone() };
         let stood_still = running::stood_still();
         match self.network.ask(placer.address, envelope, ANSWER_LIMIT).await.map(|answer| answer.body) {
             Ok(Some(Body::PlacementReply(reply))) if !reply.backend.is_empty() => {
                 self.lock().note_answer(&placer.node);
-                PlacementAnswer::Chosen(decode_reply(&reply, placer.node))
+                PlacementOutcome::Chosen(decode_reply(&reply, placer.node))
             }
             // It found no engine, as a node that has just started, or did not answer in time.
             Ok(_) | Err(_) => {
@@ -83,13 +83,13 @@
                 if running::stood_still() == stood_still {
                     self.note_miss(&placer.node);
                 }
-                PlacementAnswer::Unanswered
+                PlacementOutcome::Unanswered
             }
         }
     }
 }
 
-fn encode(question: &PlacementQuestion) -> PlacementRequest {
+fn encode(question: &PlacementQuery) -> PlacementRequest {
     let prompt = &question.prompt;
     PlacementRequest {
         service: question.service.to_string(),
@@ -108,9 +108,9 @@
 }
 
 /// The question of a peer.
-pub(super) fn decode(request: PlacementRequest, envelope: &Envelope) -> PlacementQuestion {
+pub(super) fn decode(request: PlacementRequest, envelope: &Envelope) -> PlacementQuery {
     let parts = request.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens }).collect();
-    PlacementQuestion {
+    PlacementQuery {
         sender: NodeId::new(&envelope.sender),
         service: ServiceName::new(&request.service),
         zone: ZoneName::new(&envelope.zone),
--- a/crates/beamwall-node/src/gateway/quarantine_news.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_news.rs
@@ -24,7 +24,7 @@
     pub async fn tell_quarantine(self: Arc<Self>) {
         let quarantine = self.gateway.forwarder.quarantine.clone();
         loop {
-            let untold = quarantine.next_untold().await;
+            let untold = quarantine.next_unpublished().await;
             let news = self.envelope(Body::QuarantineNews(encode(&untold)));
             let mut told = self.targets(std::iter::empty());
             told.extend(self.members.load().relays_elsewhere.iter().copied());
@@ -61,7 +61,7 @@
 
     /// Takes evidence from a peer; a relay passes on what comes from another zone.
     pub(super) fn take_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
-        let new = self.gateway.forwarder.quarantine.hear(decode(news));
+        let new = self.gateway.forwarder.quarantine.merge_evidence(decode(news));
         if new.is_empty() || !self.is_large() || envelope.zone == self.zone.as_str() {
             return;
         }
--- a/crates/beamwall-node/src/gateway/readiness.rs
+++ b/crates/beamwall-node/src/gateway/readiness.rs
@@ -39,7 +39,7 @@
 
     /// Whether the node takes callers. What peers told suffices only where the store failed.
     pub fn is_ready(&self) -> bool {
-        let knows = self.policy.load().version() > 0 && self.directory.load().is_whole();
+        let knows = self.policy.load().version() > 0 && self.directory.load().is_fully_loaded();
         knows && self.status.has_settled(&[POLICY, BACKENDS]) && !self.is_draining()
     }
 
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -39,7 +39,7 @@
     /// Tells the choice of back ends the zones of which no node is heard.
     pub(super) fn note_silent_zones(&self) {
         let silent = if self.is_large() { self.zones.silent() } else { self.silent_zones() };
-        let knowledge = &self.gateway.forwarder.knowledge;
+        let knowledge = &self.gateway.forwarder.backend_state;
         for zone in knowledge.note_silent_zones(&silent, &self.directory.load()) {
             emit(&ZoneCutOff { zone: zone.to_string() });
         }
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -17,7 +17,9 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::{DirectoryDoubted, DirectoryReviewed, WatchMissedChange};
 use beamwall_gateway::ports::{DirectorySnapshot, PolicyAnswer};
-use beamwall_gateway::{ControlStore, ControlStoreError, Correction, Doubt, Gateway, ListDoubts};
+use beamwall_gateway::{
+    ControlStore, ControlStoreError, Gateway, Reconciliation, StalenessEvidence, StalenessTracker,
+};
 use beamwall_policy::TrafficPolicy;
 use kameo::actor::ActorRef;
 use rand::RngExt;
@@ -233,7 +235,7 @@
         let read = self.listing.recent_digest().await?;
         // It may be older than what is held, so it is no proof: the newest is read before anything is taken.
         if read != self.listing.known.load().digest() {
-            self.doubts().note_store_differs();
+            self.doubts().note_store_disagrees();
         }
         Ok(None)
     }
@@ -261,15 +263,15 @@
 }
 
 impl FollowedBackends {
-    fn doubts(&self) -> &ListDoubts {
-        &self.gateway.forwarder.knowledge.doubts
+    fn doubts(&self) -> &StalenessTracker {
+        &self.gateway.forwarder.backend_state.staleness
     }
 
     fn watches(&self) -> bool {
         self.listing.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE)
     }
 
-    fn doubt(&self) -> Option<Doubt> {
+    fn doubt(&self) -> Option<StalenessEvidence> {
         self.doubts().reason(&self.listing.known.load(), self.watches(), Instant::now())
     }
 
@@ -290,26 +292,26 @@
         let revision = read.revision;
         let correction = self.take(read).await;
         if purpose == Purpose::Review {
-            self.doubts().note_read(correction == Correction::Changed, Instant::now());
+            self.doubts().note_reload(correction == Reconciliation::Changed, Instant::now());
             let outcome = format!("{correction:?}");
             emit(&DirectoryReviewed { outcome, held: held.to_string(), read: revision.to_string() });
         }
         Ok(revision)
     }
 
-    async fn take(&self, snapshot: DirectorySnapshot) -> Correction {
+    async fn take(&self, snapshot: DirectorySnapshot) -> Reconciliation {
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
         // The actor ends only with the node.
         let taken = self.directory.ask(reading).await;
-        taken.map_or(Correction::Outdated, |ReadingTaken(correction)| correction)
+        taken.map_or(Reconciliation::Outdated, |ReadingTaken(correction)| correction)
     }
 }
 
-fn describe(doubt: &Doubt) -> String {
+fn describe(doubt: &StalenessEvidence) -> String {
     match doubt {
-        Doubt::Unreached(backend) => format!("unreached: {backend}"),
-        Doubt::PeersDiffer(peers) => format!("peers: {peers}"),
-        Doubt::StoreDiffers => "store".to_owned(),
+        StalenessEvidence::Unreachable(backend) => format!("unreached: {backend}"),
+        StalenessEvidence::PeersDisagree(peers) => format!("peers: {peers}"),
+        StalenessEvidence::StoreDisagrees => "store".to_owned(),
     }
 }
 
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -139,7 +139,7 @@
 
     fn sum_zone(&self) -> ZoneSummary {
         let forwarder = &self.gateway.forwarder;
-        let loads = forwarder.knowledge.loads.sum_of_nodes();
+        let loads = forwarder.backend_state.loads.sum_of_nodes();
         let (models, slowness) = self.observations_of_zone();
         ZoneSummary {
             zone: self.zone.to_string(),
@@ -169,7 +169,7 @@
         }
         let forwarder = &self.gateway.forwarder;
         let reporter = Reporter::Zone(zone.clone());
-        forwarder.knowledge.loads.set_peer(&reporter, beat::decode_loads(summary.loads));
+        forwarder.backend_state.loads.set_peer(&reporter, beat::decode_loads(summary.loads));
         forwarder.demand.set_peer(&reporter, beat::decode_demands(&summary.demands));
         self.take_observations(&reporter, &summary.models, &summary.slowness);
         forwarder.usage.merge_zone(&zone, beat::decode_usage(summary.usage));
@@ -225,15 +225,15 @@
         }
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_work_of(&Reporter::Node(member.node.clone()));
-            self.gateway.forwarder.usage.forget_node(&member.node);
+            self.gateway.forwarder.usage.remove_node_counts(&member.node);
             self.rollouts().forget_node(&member.node);
         }
     }
 
     /// Forgets the open work, the demand and the observations that somebody told.
     pub(super) fn forget_work_of(&self, reporter: &Reporter) {
-        self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
-        self.gateway.forwarder.demand.forget_peer(reporter);
-        self.gateway.forwarder.knowledge.models.forget_peer(reporter);
+        self.gateway.forwarder.backend_state.loads.remove_peer(reporter);
+        self.gateway.forwarder.demand.remove_peer(reporter);
+        self.gateway.forwarder.backend_state.models.forget_peer(reporter);
     }
 }
--- a/crates/beamwall-node/src/tasks/quarantine.rs
+++ b/crates/beamwall-node/src/tasks/quarantine.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
 use beamwall_fleet::FleetView;
-use beamwall_gateway::quarantine::{ListedBackend, ListedBackends, Quarantine};
+use beamwall_gateway::quarantine::{BackendLookup, ListedBackend, Quarantine};
 use beamwall_model::BackendId;
 use beamwall_peer::quarantine_message::QuarantineNews;
 use beamwall_peer::{Body, Envelope, MemberState};
@@ -32,7 +32,7 @@
 /// The back ends as the fleet is seen now.
 pub struct ListedInView(pub Arc<ArcSwap<FleetView>>);
 
-impl ListedBackends for ListedInView {
+impl BackendLookup for ListedInView {
     fn find(&self, backend: &BackendId) -> Option<ListedBackend> {
         let view = self.0.load();
         let listed = view.backend(backend)?;
@@ -71,7 +71,7 @@
 pub async fn tell(shared: Arc<Shared>) {
     let quarantine = &shared.quarantine.quarantine;
     loop {
-        let untold = quarantine.next_untold().await;
+        let untold = quarantine.next_unpublished().await;
         send(&shared, &untold, |_| true);
     }
 }
@@ -79,7 +79,7 @@
 /// Takes what a peer tells. A relay passes on what is new to it: to its zone what comes from others, to the other zones what comes
 /// from its own.
 pub fn hear(shared: &Shared, envelope: &Envelope, news: &QuarantineNews) {
-    let new = shared.quarantine.quarantine.hear(quarantine_wire::decode(news));
+    let new = shared.quarantine.quarantine.merge_evidence(quarantine_wire::decode(news));
     if new.is_empty() || !shared.members.load().is_relay {
         return;
     }
--- a/crates/beamwall-node/tests/kept_quarantine.rs
+++ b/crates/beamwall-node/tests/kept_quarantine.rs
@@ -80,13 +80,13 @@
         // Each asks twice, later each time, and none hears of the others.
         for (turn, asking) in nodes.iter().chain(&nodes).enumerate() {
             let at_ms = now_ms() + turn as u64 * 10;
-            granted += usize::from(asking.kept.take(&request(), number, at_ms).await);
+            granted += usize::from(asking.kept.claim_trial(&request(), number, at_ms).await);
         }
         assert_eq!(granted, 1, "trial {number}");
     }
     let later = node(&objects);
     later.kept.recall().await;
-    assert!(!later.kept.take(&request(), 2, now_ms() + 100).await, "also in a next life");
+    assert!(!later.kept.claim_trial(&request(), 2, now_ms() + 100).await, "also in a next life");
 }
 
 #[tokio::test]
--- a/crates/beamwall-node/tests/loads_to_pass_on.rs
+++ b/crates/beamwall-node/tests/loads_to_pass_on.rs
@@ -1,7 +1,7 @@
 //! Open work that a relay passes on: that at engines in groups to who places there, the rest to all.
 
 use beamwall_gateway::ports::DirectorySnapshot;
-use beamwall_gateway::{Backend, Directory, Vanishing};
+use beamwall_gateway::{Backend, Directory, RemovalCause};
 use beamwall_model::ServiceName;
 use beamwall_node::gateway::loads_to_pass_on::LoadsToPassOn;
 use beamwall_peer::gateway_message::BackendLoad;
@@ -28,7 +28,7 @@
     let of = |service: &'static str| (0..engines).map(move |number| backend(service, number));
     let mut directory = Directory::default();
     let backends = of("model").chain(of("plain")).collect();
-    directory.replace(DirectorySnapshot { revision: 1, backends }, Vanishing::Gone);
+    directory.replace(DirectorySnapshot { revision: 1, backends }, RemovalCause::Gone);
     directory
 }
 
