--- a/crates/beamwall-gateway/benches/admission.rs
+++ b/crates/beamwall-gateway/benches/admission.rs
@@ -1,5 +1,5 @@
-//! What it costs each request that nothing tells against to pass the quarantine: on arrival and once it is answered, by the number
-//! of peers whose clocks are heard.
+//! Cost of the quarantine checks for a request without suspicion, on arrival and after completion, by the
+//! number of peers whose clocks are known.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -39,7 +39,8 @@
     let listed = Arc::<ArcSwap<Directory>>::default();
     let quarantine = Quarantine::new(Arc::default(), pool, listed, clock, Arc::new(NoTrials));
     let request = FingerprintHasher::new(None, "a.example", "/chat").finish();
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().build().expect("a current-thread runtime can be built");
     bencher.bench_local(|| {
         let admission = runtime.block_on(quarantine.admit(&request));
         quarantine.note_completed(&request);
--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -1,7 +1,7 @@
-//! What the choice of an engine costs by the number of engines: time and allocations of its two halves.
+//! Cost of choosing an engine by the number of engines: time and allocations of its two steps.
 //!
-//! The sender divides the engines of a service into groups and orders them for a prompt; the node that places in the first
-//! group compares the engines there. Run with `cargo bench -p beamwall-gateway`.
+//! The sender divides the engines of a service into groups and orders them for a prompt; the placement node
+//! of the first group compares the engines in it. Run with `cargo bench -p beamwall-gateway`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -18,7 +18,7 @@
 
 /// From a small deployment to the planned size.
 const ENGINES: [usize; 4] = [60, 600, 3_000, 10_000];
-/// Requests that an engine works on at once.
+/// Requests that an engine processes concurrently.
 const SLOTS: u32 = 96;
 
 fn main() {
@@ -54,10 +54,10 @@
     let candidates = knowledge.candidates(directory, search);
     let estimates = knowledge.models.estimates(&service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: Some(400) };
-    choose(&candidates, &expectation).expect("an engine").0.backend.clone()
+    choose(&candidates, &expectation).expect("the group has at least one engine").0.backend.clone()
 }
 
-/// The sender's half.
+/// The step at the sender.
 #[divan::bench(args = ENGINES)]
 fn order_groups(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
@@ -65,7 +65,7 @@
     bencher.bench(|| first_group(&directory, &prompt));
 }
 
-/// The placing node's half.
+/// The step at the placement node.
 #[divan::bench(args = ENGINES)]
 fn place_in_group(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
--- a/crates/beamwall-gateway/src/admission.rs
+++ b/crates/beamwall-gateway/src/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a model request can still be served: one that can't is refused at once, so that its caller need not wait
-//! for nothing and no engine works for it.
+//! Admission control for model requests: a request that no back end can serve within its caller's timeout is
+//! refused immediately, so that the caller does not wait in vain and no engine works on it.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 
 use crate::placement::Choice;
 
-/// Standard errors by which the expected time must be beyond the caller's patience: a request is refused only where
-/// the model is sure.
+/// Number of standard errors by which the expected time must exceed the caller's timeout. A request is
+/// refused only when the model's estimate is that certain.
 const CONFIDENCE_STANDARD_ERRORS: f64 = 3.0;
-/// Least time after which a refused caller may come back.
+/// Smallest `retry_after` given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A request that no back end begins to answer within its caller's patience.
+/// A request for which no back end would start its response within the caller's timeout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Unservable {
-    /// Expected time until the best back end would begin to answer.
+    /// Expected time until the best back end would start its response.
     pub expected: Duration,
-    /// When its queue will have become short enough to serve in time.
+    /// Time after which its queue will be short enough to serve the request in time.
     pub retry_after: Duration,
 }
 
-/// Looks at the best choice for a request that has `remaining` time left and should be answered within `objective`.
-/// `None`: it may be sent.
+/// Checks the best choice for a request that has `remaining` time left and should be answered within
+/// `objective`. Returns `None` if the request may be sent.
 pub fn check(
     choice: &Choice,
     estimates: &ServiceEstimates,
@@ -34,12 +34,13 @@
     Some(Unservable { expected, retry_after: expected.saturating_sub(objective).max(MIN_RETRY_AFTER) })
 }
 
-/// Whether [`check`] refuses such a request.
+/// Whether [`check`] refuses a request with this choice and `remaining` time.
 pub fn is_unservable(choice: &Choice, estimates: &ServiceEstimates, remaining: Duration) -> bool {
     confident_wait(choice, estimates).is_some_and(|expected| expected > remaining)
 }
 
-/// The time that surely passes until the back end begins to answer; `None` where nothing is sure.
+/// Lower confidence bound of the time until the back end starts its response; `None` while the model has no
+/// estimate.
 fn confident_wait(choice: &Choice, estimates: &ServiceEstimates) -> Option<Duration> {
     let error_ms = estimates.first_event_error_ms(choice.first_event())?;
     let lower_bound_ms = choice.expected_ms? - CONFIDENCE_STANDARD_ERRORS * error_ms;
--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one back end.
+//! A single attempt to run a request at one back end.
 
 use std::time::Duration;
 
@@ -14,23 +14,24 @@
 use crate::placement::Choice;
 use crate::ports::{AnswerHead, ForwardHead};
 
-/// Time after which a lost answer tells that a back end had begun: one that resets at once took nothing.
+/// If the response is lost later than this after sending, the back end is assumed to have started the
+/// request. A back end that resets the connection sooner has not accepted anything.
 const MIN_STARTED_TIME: Duration = Duration::from_millis(8);
 
-/// Standstill of this process during an attempt up to which the back end is blamed for giving no answer in time.
+/// Longest stall of this process during an attempt for which a timeout still counts against the back end.
 const MAX_TOLERATED_PAUSE: Duration = Duration::from_millis(100);
 
-/// Whether a request that failed has run.
+/// Whether a request that failed was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It has not and never will.
+    /// It was not executed and never will be.
     NotExecuted,
-    /// It may have.
+    /// It may have been executed.
     MaybeExecuted,
 }
 
 impl Execution {
-    /// The word used in logs.
+    /// The value used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotExecuted => "no",
@@ -39,26 +40,27 @@
     }
 }
 
-/// Why an attempt gave no answer.
+/// Why an attempt produced no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// Whether the request has run.
+    /// Whether the request was executed.
     pub execution: Execution,
-    /// Whether it was sent at all, so that it counts as an attempt.
+    /// Whether the request was sent, so that it counts as an attempt.
     pub sent: bool,
-    /// Whether it is taken to have begun: the back end began to answer, or worked for a while before the answer was
-    /// lost.
+    /// Whether the request is assumed to have started: the back end began to respond, or worked on it for a
+    /// while before the response was lost.
     pub has_started: bool,
-    /// Whether its time was up.
+    /// Whether the attempt timed out.
     pub timed_out: bool,
-    /// Whether the connection ended or fell silent before the whole answer, so that the back end may have ended.
+    /// Whether the connection closed or went silent before the whole response arrived, which may mean that
+    /// the back end terminated.
     pub response_lost: bool,
-    /// What happened.
+    /// Description of the failure.
     pub reason: String,
 }
 
 impl AttemptFailure {
-    /// A failure after which the request may have run.
+    /// A failure after which the request may have been executed.
     pub fn may_have_run(reason: impl Into<String>) -> Self {
         let reason = reason.into();
         Self {
@@ -71,12 +73,13 @@
         }
     }
 
-    /// A failure after which the request may have run, where the answer was lost with its connection or by silence.
+    /// A failure after which the request may have been executed, where the response was lost because the
+    /// connection closed or went silent.
     pub fn lost(reason: impl Into<String>) -> Self {
         Self { response_lost: true, ..Self::may_have_run(reason) }
     }
 
-    /// The same failure of a request that had begun.
+    /// The same failure, for a request that had started.
     pub fn after_start(self) -> Self {
         Self { has_started: true, ..self }
     }
@@ -94,18 +97,18 @@
     }
 }
 
-/// An answer whose head came and whose body is being received.
+/// A response whose head was received and whose body is still arriving.
 pub struct OpenResponse {
     /// The back end.
     pub backend: BackendId,
-    /// The answer.
+    /// The response.
     pub response: Response<PooledBody>,
-    /// Counts as open work until dropped.
+    /// Counts the request as open until dropped.
     pub work: OpenRequestGuard,
 }
 
-/// Sends a call to the chosen back end and waits up to `limit` for the head of its answer. `last_event` is
-/// the last event delivered, when a stream continues. Health is noted here.
+/// Sends a call to the chosen back end and waits up to `limit` for the response head. `last_event` is the
+/// last event delivered, when a stream is continued. Also records the back end's health.
 pub async fn open(
     forwarder: &Forwarder,
     call: &Call,
@@ -135,7 +138,8 @@
         }
         Some(Ok(response)) => check_head(forwarder, call, backend, response, work),
     };
-    // An answer may lie unread where this process did not run: its time up tells nothing of the back end.
+    // While this process was stalled, a response may have arrived without being read, so the timeout says
+    // nothing about the back end.
     let had_full_timeout = running::stood_still().saturating_sub(stood_still) < MAX_TOLERATED_PAUSE;
     if !had_full_timeout && result.as_ref().is_err_and(|failure| failure.timed_out) {
         return result;
@@ -149,7 +153,8 @@
     result
 }
 
-/// Notes that a back end is left for its silence before it began to answer; `next` is reserved for the next attempt.
+/// Records that a back end is abandoned because it was silent before it started its response. `next` is
+/// reserved for the next attempt.
 pub(crate) fn abandon_silent(
     forwarder: &Forwarder,
     call: &Call,
@@ -189,7 +194,7 @@
         }
         _ if elapsed < MIN_STARTED_TIME => lost,
         PoolError::Reset(_) => lost.after_start(),
-        // Model engines that go close many streams that still wait for their prompts to be read.
+        // Model engines that shut down close many streams whose prompts are still queued for prefill.
         PoolError::Lost(..) if call.route.kind.is_stream() => lost,
         PoolError::Lost(..) => lost.after_start(),
     }
@@ -225,7 +230,7 @@
     Ok(OpenResponse { backend: backend.clone(), response, work })
 }
 
-/// An answer without an identifier can't be told from a late one of another request.
+/// A response without a request identifier can't be distinguished from a late response to another request.
 fn matches_request(head: &AnswerHead, call: &Call) -> bool {
     match (&head.request_id, &call.request_id) {
         (Some(answered), Some(asked)) => answered == asked,
@@ -234,7 +239,7 @@
     }
 }
 
-/// Statuses that promise the caller that the request did not run.
+/// Statuses that tell the caller that the request was not executed.
 fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: how many there may be, and where the next one goes.
+//! The attempts of one request: how many are allowed and which back end the next one uses.
 
 use std::time::Duration;
 
@@ -15,27 +15,27 @@
 use crate::placement::Choice;
 use crate::refusal::Refusal;
 
-/// Attempts that may fail before anything is sent, beyond those that the route allows.
+/// Attempts that may fail before the request is sent, in addition to the route's attempt limit.
 const MAX_UNSENT_ATTEMPTS: usize = 3;
 
-/// Times that a request looks whether it can go back to the back end that it left.
+/// How often a request tries to return to the back end that it abandoned.
 const MAX_RETURNS: u32 = 3;
-/// Pause before the second such look and each further one.
+/// Delay before each try to return after the first.
 const RETURN_DELAY: Duration = Duration::from_millis(300);
 
-/// What another attempt lacks.
+/// Why no further attempt is possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryBlocker {
-    /// The route, the request or the time that is left allows none.
+    /// The route's attempt limit, the request or the remaining time allows no further attempt.
     Attempt,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     Retry,
-    /// No back end would take it.
+    /// No back end is available.
     BackEnd,
 }
 
 impl RetryBlocker {
-    /// The word used in logs and metrics.
+    /// The value used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Attempt => "attempt",
@@ -45,30 +45,31 @@
     }
 }
 
-/// The attempts of one request so far.
+/// State of one request's attempts.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Back ends to which it was sent or could not be sent.
+    /// Back ends that the request was sent to or could not be sent to.
     pub tried: Vec<BackendId>,
-    /// Times that it was sent, those that have ended or begun to answer.
+    /// Number of times the request was sent, counting attempts that ended or began to respond.
     pub sent: u32,
     /// The last failure.
     pub last_failure: Option<AttemptFailure>,
-    /// Whether any attempt may have run it.
+    /// Whether any attempt may have executed the request.
     pub may_have_run: bool,
-    /// The back end that was left for its silence alone.
+    /// The back end that was abandoned only because it was silent.
     abandoned: Option<Choice>,
-    /// Times that the request looked whether it can go back there.
+    /// Number of tries to return to it.
     returns: u32,
 }
 
 impl Attempts {
-    /// Notes that an attempt began to answer.
+    /// Records that an attempt began to respond.
     pub fn begin(&mut self) {
         self.sent += 1;
     }
 
-    /// Notes an attempt that failed before it began to answer, and gives where the request goes next.
+    /// Records an attempt that failed before it began to respond, and returns the choice for the next
+    /// attempt.
     pub async fn continue_after_failure(
         &mut self,
         forwarder: &Forwarder,
@@ -98,7 +99,7 @@
         self.note(forwarder, call, backend, failure);
     }
 
-    /// Notes and logs the failure of an attempt, also of one that had begun to answer.
+    /// Records and logs a failed attempt, including one that had begun to respond.
     pub(crate) fn note(
         &mut self,
         forwarder: &Forwarder,
@@ -120,8 +121,8 @@
         self.last_failure = Some(failure);
     }
 
-    /// Whether the request may be sent once more where it has been `sent` so often: the route allows it, there is time, the
-    /// request may run again, and back ends have not ended under it.
+    /// Whether a request that was sent `sent` times may be sent again: the route allows it, time remains,
+    /// repeating the request is safe, and the request is not quarantined.
     fn allows_another(&self, forwarder: &Forwarder, call: &Call, sent: u32) -> bool {
         let limit = call.attempt_limit();
         let is_within_limit = sent < limit && self.tried.len() < MAX_UNSENT_ATTEMPTS + limit as usize;
@@ -134,13 +135,14 @@
         !is_held && may_run_again && !call.remaining().is_zero()
     }
 
-    /// The first back end.
+    /// Chooses the back end of the first attempt.
     pub async fn first_choice(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
         self.choose(forwarder, call, Vec::new()).await
     }
 
-    /// Where a request goes whose attempt at `choice` is over: to the back end that is `reserved` where that one was silent, to one
-    /// that was not tried, or back to the one that was left for its silence.
+    /// Returns the choice that follows an attempt at `choice`: the `reserved` back end if `choice` was
+    /// silent, otherwise one that was not tried yet, otherwise the back end that was abandoned for being
+    /// silent.
     pub(crate) async fn next_choice(
         &mut self,
         forwarder: &Forwarder,
@@ -158,8 +160,9 @@
         }
     }
 
-    /// Takes the right to another attempt, out of the retry budget from the second on, and a back end for it that is none of
-    /// `avoided`; or neither. `sent`: how often the request has been sent.
+    /// Reserves a further attempt together with a back end that is not in `avoided`, or neither. From the
+    /// second attempt on it is charged to the retry budget. `sent` is the number of times the request was
+    /// sent.
     pub async fn reserve(
         &mut self,
         forwarder: &Forwarder,
@@ -193,8 +196,9 @@
         Some(choice)
     }
 
-    /// Goes back to the back end that was left for its silence where the one asked in its place did not take the request: it is no
-    /// further one, and may be well again. Where it refuses too, or no retry is left, both may change soon.
+    /// Returns to the back end that was abandoned for being silent if its replacement refused the request.
+    /// This is not an additional back end, and it may have recovered. While the replacement still refuses or
+    /// the retry budget is empty, it tries again after a delay, since either may change soon.
     async fn return_to_abandoned(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
         let abandoned = self.abandoned.clone()?;
         while self.returns < MAX_RETURNS {
@@ -222,7 +226,7 @@
         was_refused && is_usable && self.may_resend(forwarder, call)
     }
 
-    /// The final answer after the last failure.
+    /// The refusal that is returned to the caller after the last failure.
     pub fn refusal(&self, call: &Call) -> Refusal {
         let reason = match &self.last_failure {
             Some(failure) => failure.reason.clone(),
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Gathers the candidates of one request from what this node knows.
+//! Collects the candidate back ends of one request from this node's state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -23,14 +23,14 @@
 use crate::reporter::Reporter;
 use crate::unreachable_zones::UnreachableZones;
 
-/// Back ends drawn at random for each request that a node chooses for itself, beside those that keep parts of
-/// its prompt. Nodes that all looked at all back ends would all choose the one that was idle at the last
-/// heartbeat.
+/// Back ends sampled at random when a node chooses for its own request, in addition to those that cache parts
+/// of the prompt. If all nodes compared all back ends, all of them would choose the one that was idle at the
+/// last heartbeat.
 const SENDER_SAMPLE_SIZE: usize = 10;
-/// The same for a request placed for all nodes: more are not compared, so that the time for it is bounded.
+/// Sample size for a request placed on behalf of another node. The limit bounds the time of a placement.
 const PLACER_SAMPLE_SIZE: usize = 128;
 
-/// What a back end is looked for.
+/// Search criteria for a back end.
 #[derive(Debug, Clone, Copy)]
 pub struct Search<'a> {
     /// The service.
@@ -39,50 +39,51 @@
     pub zone: &'a ZoneName,
     /// The prompt, for model engines.
     pub prompt: Option<&'a Prompt>,
-    /// The back ends of the service that are looked at.
+    /// The group of the service's back ends that is searched.
     pub group: EngineGroup,
-    /// Back ends that are left out.
+    /// Back ends that are excluded.
     pub avoided: &'a [BackendId],
-    /// Which versions may take it, during a rollout.
+    /// Versions that may serve the request during a rollout.
     pub versions: Option<&'a VersionRule>,
-    /// Who chooses, which tells how well unread prompts are known.
+    /// Who chooses, which determines how precisely the queued prompts are known.
     pub by: ChosenBy,
 }
 
 /// Who chooses a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChosenBy {
-    /// The node that sends the request: it knows its own open work and what others told.
+    /// The node that sends the request. It knows its own open requests and what its peers reported.
     Sender,
-    /// The node that places the requests of all: it knows the prompts placed a moment ago.
+    /// The placement node. It also knows the prompts that it placed a moment ago and that are not reported
+    /// yet.
     Placer,
-    /// The node that sends the request, by a baseline that compares all.
+    /// The node that sends the request, using a baseline strategy that compares all back ends.
     Baseline,
 }
 
-/// What a node knows of back ends beside the directory.
+/// State of the back ends at one node, in addition to the directory.
 #[derive(Debug, Default)]
 pub struct BackendState {
-    /// Open work.
+    /// Open requests.
     pub loads: Arc<LoadTracker>,
     /// Recent failures.
     pub health: HealthTracker,
-    /// Kept prompt parts.
+    /// Cached prompt parts.
     pub prefixes: PrefixCacheIndex,
-    /// Prompts that this node placed for all.
+    /// Prompts that this node placed on behalf of all nodes.
     pub queues: PrefillQueues,
-    /// What speaks against the list of back ends.
+    /// Evidence that the list of back ends is stale.
     pub staleness: StalenessTracker,
-    /// Engines that those could not reach for whom this node places.
+    /// Engines that the nodes for which this node places could not reach.
     pub reports: UnreachableReports,
-    /// Zones from which this node seems to be cut off.
+    /// Zones that seem to be unreachable from this node.
     pub unreachable_zones: UnreachableZones,
-    /// What back ends can do.
+    /// Performance models of the back ends.
     pub models: EngineModels<Reporter>,
 }
 
 impl BackendState {
-    /// Forgets back ends that the directory does not hold.
+    /// Removes the state of back ends that are not in the directory.
     pub fn retain_listed(&self, directory: &Directory) {
         self.health.retain(|backend| directory.get(backend).is_some());
         self.staleness.retain(|backend| directory.get(backend).is_some());
@@ -92,8 +93,8 @@
         self.models.retain(|backend| directory.get(backend).is_some());
     }
 
-    /// The candidates for a request, in random order so that equal ones share the load; of many back ends
-    /// a sample.
+    /// The candidates for a request, in random order so that candidates of equal cost share the load. If
+    /// there are many back ends, this is a sample.
     pub fn candidates(&self, directory: &Directory, search: Search<'_>) -> Vec<Candidate> {
         let now = Instant::now();
         let estimates = self.models.estimates(search.service);
@@ -138,8 +139,8 @@
         HealthView { unreachable: own.unreachable || is_reported() || is_cut_off(), ..own }
     }
 
-    /// Back ends that would hardly take over a request now: they refused one a moment ago, could not be reached, or owe
-    /// events to this node's streams and are silent themselves.
+    /// Back ends that probably would not accept another request now: they refused one recently, could not be
+    /// reached, or are silent while events of this node's streams are outstanding.
     pub(crate) fn unlikely_to_accept(&self) -> Vec<BackendId> {
         let now = Instant::now();
         let mut found = self.health.refusing(now);
@@ -151,7 +152,8 @@
         found
     }
 
-    /// Takes the zones of which no node is heard; gives those that are found cut off only now.
+    /// Updates the unreachable zones from the silent ones, from which this node receives no messages. Returns
+    /// those newly found unreachable.
     pub fn note_silent_zones(&self, silent: &HashSet<ZoneName>, directory: &Directory) -> Vec<ZoneName> {
         self.unreachable_zones.update(silent, directory, &self.health, &self.reports, Instant::now())
     }
@@ -191,7 +193,7 @@
     }
 }
 
-/// The back ends that a rollout lets take a request.
+/// The back ends that may serve a request during a rollout.
 fn allowed_by_rollout<'a>(
     versions: Option<&VersionRule>,
     back_ends: impl Iterator<Item = &'a Backend>,
--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -1,8 +1,8 @@
-//! The choice of a back end: one small function from candidates to the cheapest.
+//! Selects a back end: a function from the candidates to the one with the lowest cost.
 //!
-//! A candidate's cost is the time until it would begin to answer, in milliseconds: what is expected of its service
-//! by the learnt model, how much slower than the service it is, the wait for a free slot, the way there, and a
-//! surcharge for what its recent answers say.
+//! A candidate's cost is the expected time until it would start its response, in milliseconds. It consists of
+//! the learnt model's estimate for the service, the back end's slowness relative to the service, the wait for
+//! a free slot, the network delay, and a penalty for recent failures.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -12,20 +12,20 @@
 use crate::health::HealthView;
 use crate::load::OpenLoad;
 
-/// Cost of one open request while nothing is known of the service: only the order that it gives counts.
+/// Cost of one open request before the service's model is trained. Only the resulting order matters.
 const UNTRAINED_REQUEST_MS: f64 = 10.0;
-/// Wait for a slot while it is not known how long streams take: only the order that it gives counts.
+/// Wait for a slot while the usual duration of a stream is unknown. Only the resulting order matters.
 const UNTRAINED_SLOT_MS: f64 = 500.0;
-/// Surcharge for another zone: the way there and back, and the price of the bytes.
+/// Penalty for another zone: network round trip and the price of the traffic.
 const OTHER_ZONE_MS: f64 = 4.0;
-/// Surcharge for a back end all of whose requests failed lately.
+/// Penalty for a back end whose recent requests all failed.
 const FAILING_MS: f64 = 2_000.0;
-/// Share of failures that is usual and not held against a back end.
+/// Failure share that is normal and not penalised.
 const TOLERATED_FAILURE_SHARE: f64 = 0.25;
-/// Surcharge for a back end that could not be reached a moment ago.
+/// Penalty for a back end that recently could not be reached.
 const UNREACHABLE_MS: f64 = 5_000.0;
-/// Surcharge for a back end whose pauses between events are expected to be twice the objective; in proportion where
-/// they are less too long. A stream with such a pause is late from then on, however early it began.
+/// Penalty for a back end whose expected gap between events is twice the objective, scaled down linearly for
+/// a smaller excess. A stream with such a gap is late from then on, however early it started.
 const GAP_EXCESS_MS: f64 = 1_000.0;
 
 /// A back end that may be chosen.
@@ -35,31 +35,32 @@
     pub backend: BackendId,
     /// Whether it runs in this node's zone.
     pub same_zone: bool,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Open work of all nodes there.
+    /// Open requests of all nodes at this back end.
     pub load: OpenLoad,
-    /// What of the request's prompt it would read; `None` for plain calls.
+    /// Prefill work that the request's prompt would cause there; `None` for plain calls.
     pub reading: Option<Reading>,
-    /// Factor by which it takes longer than its service usually does.
+    /// Factor by which it is slower than its service usually is.
     pub slowness: f64,
-    /// How it has fared lately.
+    /// Recent health.
     pub health: HealthView,
 }
 
 impl Candidate {
-    /// What the time to the first event of a model request depends on there.
+    /// Inputs of the model for the time to the first event at this back end.
     fn first_event(&self, reading: Reading) -> FirstEvent {
         let running = self.load.requests.min(self.slots);
         FirstEvent { reading, tokens_ahead: self.load.prompt_tokens, running }
     }
 
-    /// Requests that would wait for a slot there, this one included.
+    /// Number of requests that would wait for a slot, including this one.
     fn waiting(&self) -> u32 {
         (self.load.requests + 1).saturating_sub(self.slots)
     }
 
-    /// Time until it would begin to answer, in milliseconds; `None` while nothing is known of the service.
+    /// Expected time until it would start its response, in milliseconds; `None` while the service's model is
+    /// not trained.
     pub fn expected_ms(&self, expectation: &Expectation<'_>) -> Option<f64> {
         let estimates = expectation.estimates;
         let answer_ms = match self.reading {
@@ -71,7 +72,8 @@
         Some((answer_ms + wait_ms) * self.slowness)
     }
 
-    /// How much too long its pauses between events are expected to be, as a part of the objective, at most 1.
+    /// Excess of the expected gap between events over the objective, as a fraction of the objective, at most
+    /// 1.
     fn event_gap_excess(&self, expectation: &Expectation<'_>) -> f64 {
         let gap_ms = expectation.estimates.event_gap_ms(self.load.requests.min(self.slots));
         match (self.reading, gap_ms, expectation.pause_objective_ms) {
@@ -82,18 +84,18 @@
         }
     }
 
-    /// What stands for the expected time while nothing is known of the service.
+    /// Replaces the expected time while the service's model is not trained.
     fn untrained_ms(&self) -> f64 {
         f64::from(self.load.requests) * UNTRAINED_REQUEST_MS + f64::from(self.waiting()) * UNTRAINED_SLOT_MS
     }
 }
 
-/// What is expected of the back ends among which one is chosen.
+/// What the cost of the candidates is computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct Expectation<'a> {
-    /// What the service's back ends do.
+    /// Estimates for the service's back ends.
     pub estimates: &'a ServiceEstimates,
-    /// Longest pause between two events that keeps the request's stream in time.
+    /// Longest gap between two events at which the stream meets its objective.
     pub pause_objective_ms: Option<u64>,
 }
 
@@ -107,7 +109,7 @@
     expected + gaps + zone_ms + failing + unreachable
 }
 
-/// The cheapest candidate with its cost; of equal ones the first.
+/// The candidate with the lowest cost, and that cost. The first of several equal candidates wins.
 pub fn choose<'a>(
     candidates: &'a [Candidate],
     expectation: &Expectation<'_>,
@@ -116,26 +118,26 @@
     costs.min_by(|left, right| left.1.total_cmp(&right.1))
 }
 
-/// Chooses by one strategy.
+/// Chooses by a configured strategy.
 #[derive(Debug, Default)]
 pub struct Chooser {
     strategy: ChoiceStrategy,
-    /// Number of the next choice, by which back ends take turns.
+    /// Counter of choices for round-robin.
     turn: AtomicUsize,
 }
 
 impl Chooser {
-    /// A chooser by `strategy`.
+    /// A chooser with the given strategy.
     pub fn new(strategy: ChoiceStrategy) -> Self {
         Self { strategy, turn: AtomicUsize::default() }
     }
 
-    /// Whether it is a baseline, which compares all back ends and is not placed by another node.
+    /// Whether the strategy is a baseline, which compares all back ends and does not use placement.
     pub fn is_baseline(&self) -> bool {
         self.strategy != ChoiceStrategy::ExpectedTime
     }
 
-    /// The chosen candidate with its cost.
+    /// The chosen candidate and its cost.
     pub fn choose<'a>(
         &self,
         candidates: &'a [Candidate],
--- a/crates/beamwall-gateway/src/demand.rs
+++ b/crates/beamwall-gateway/src/demand.rs
@@ -1,8 +1,8 @@
-//! How much work callers ask for: what the number of back ends is planned from.
+//! Demand: how much work callers request, from which the number of back ends is planned.
 //!
-//! Work is noted when a request arrives, whether or not it is served in time, so the demand stays true while
-//! engines are overloaded. It is counted in tokens and events, so that what is known of the engines' speed may
-//! change. Nodes tell each other their own.
+//! Work is recorded when a request arrives, whether or not it is served in time, so the demand stays correct
+//! while engines are overloaded. It is counted in tokens and events rather than in time, so that it stays
+//! valid when the estimates of the engines' speed change. Each node reports its own demand to its peers.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,18 +13,18 @@
 
 use crate::reporter::Reporter;
 
-/// Events assumed of a route whose streams have not ended yet.
+/// Number of events assumed for a route before any of its streams has ended.
 const DEFAULT_EVENTS_PER_STREAM: f64 = 20.0;
-/// Weight of the newest stream in a route's usual number of events.
+/// Weight of the newest stream in the moving average of a route's events per stream.
 const EVENTS_EWMA_WEIGHT: f64 = 0.1;
-/// Time over which demand is averaged.
+/// Time constant of the moving average of demand.
 const AVERAGING_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Default)]
 struct Meter {
-    /// What arrived in the period that runs.
+    /// Work that arrived in the current period.
     pending: Workload,
-    /// The mean of the last periods, a second.
+    /// Moving average per second.
     mean: Workload,
 }
 
@@ -35,7 +35,7 @@
     events_by_route: HashMap<String, f64>,
 }
 
-/// Demand at this node and, as told, at its peers.
+/// Demand at this node and as reported by its peers.
 #[derive(Debug, Default)]
 pub struct DemandTracker {
     state: Mutex<State>,
@@ -46,7 +46,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a request that has arrived on a route.
+    /// Records a request that arrived on a route.
     pub fn note_request(&self, service: &ServiceName, route: &str, reading: Reading) {
         let mut state = self.lock();
         let events = state.events_by_route.get(route).copied().unwrap_or(DEFAULT_EVENTS_PER_STREAM);
@@ -54,14 +54,14 @@
             Workload { requests: 1.0, tokens: reading.tokens as f64, pairs: reading.pairs as f64, events };
     }
 
-    /// Notes how many events a stream of a route had.
+    /// Records the number of events of a finished stream.
     pub fn note_events(&self, route: &str, events: u64) {
         let mut state = self.lock();
         let average = state.events_by_route.entry(route.to_owned()).or_insert(events as f64);
         *average = *average * (1.0 - EVENTS_EWMA_WEIGHT) + events as f64 * EVENTS_EWMA_WEIGHT;
     }
 
-    /// Ends a period of `length` and gives this node's demand by service.
+    /// Closes a period of `length` and returns this node's demand by service.
     pub fn close_period(&self, length: Duration) -> HashMap<ServiceName, Workload> {
         let mut state = self.lock();
         let seconds = length.as_secs_f64().max(1e-3);
@@ -74,17 +74,17 @@
         state.own.iter_mut().map(close).collect()
     }
 
-    /// Replaces what a peer told before.
+    /// Replaces the demand that a peer reported before.
     pub fn set_peer(&self, peer: &Reporter, demand: HashMap<ServiceName, Workload>) {
         self.lock().peers.insert(peer.clone(), demand);
     }
 
-    /// Forgets a peer that is not alive: its callers go elsewhere.
+    /// Removes a peer that is not alive; its callers connect to other nodes.
     pub fn remove_peer(&self, peer: &Reporter) {
         self.lock().peers.remove(peer);
     }
 
-    /// Demand at this node and all nodes that told their own, by service: told to other zones.
+    /// Demand by service at this node and all nodes that report their own; it is sent to other zones.
     pub fn sum_of_nodes(&self) -> HashMap<ServiceName, Workload> {
         let state = self.lock();
         let mut sum: HashMap<ServiceName, Workload> =
@@ -96,7 +96,7 @@
         sum
     }
 
-    /// Demand for a service at all nodes; `None` before any request.
+    /// Demand for a service at all nodes; `None` before the first request.
     pub fn total(&self, service: &ServiceName) -> Option<Workload> {
         let state = self.lock();
         let own = state.own.get(service).map(|meter| meter.mean);
--- a/crates/beamwall-gateway/src/directory.rs
+++ b/crates/beamwall-gateway/src/directory.rs
@@ -1,20 +1,22 @@
-//! The `Directory` aggregate: all back ends at the newest revision of the store that is known here.
+//! The `Directory` aggregate: all back ends at the newest store revision that this node knows.
 //!
-//! The store's revisions are totally ordered, so of two directories the one of the higher revision is
-//! right. A node learns from the store's watch or from a peer; it never goes back.
+//! Store revisions are totally ordered, so of two directories the one with the higher revision is correct. A
+//! node learns revisions from the store's watch or from a peer, and never goes back to an earlier one.
 //!
-//! Peers are told what changed since the revision that they hold, as far as it is still known, else the whole list: at 3,000
-//! back ends the whole takes some 100 KB, a change some 60 bytes.
+//! Peers are sent the changes since the revision that they hold, as long as these are still logged, and
+//! otherwise the whole list. With 3,000 back ends the whole list takes about 100 KB, a change about 60 bytes.
 //!
-//! A back end that starts again may keep its name and knows nothing of before. So what is known of back ends is kept by life,
-//! and the list says which life of an instance is the newest.
+//! A back end that restarts may keep its instance name and has lost its previous state. State of back ends is
+//! therefore keyed by generation, and the list says which generation of an instance is the newest.
 //!
-//! Entries of back ends that live lapse while the store is away, since they can't renew them, and are
-//! listed again soon after its return. So what vanishes then without having announced it is still used
-//! for a moment, as lapsed; it is no part of the revision, and peers are not told of it.
+//! While the store is unavailable, live back ends can't renew their entries, so the entries expire; they are
+//! listed again soon after the store recovers. Back ends that disappear then without having announced it are
+//! therefore used for a short time as expired. Expired back ends are not part of the revision and are not
+//! sent to peers.
 //!
-//! A long list comes in pages. Until a node that starts knows the whole, it uses what it has read of it: else a fleet that
-//! starts at once would serve nobody for seconds. That is no part of a revision either.
+//! A long list is read in pages. Until a starting node has read the whole list it uses the pages read so far;
+//! otherwise a fleet that starts all at once would serve no requests for seconds. A partial list is not part
+//! of a revision either.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -27,33 +29,33 @@
 use crate::placement_groups::{EngineGroup, EngineGroups};
 use crate::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
 
-/// A back end as listed.
+/// A back end as listed in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// The identifier of this life, made of the next two; never used again.
+    /// Identifier of this generation, derived from the next two fields and never reused.
     pub id: BackendId,
-    /// The name by which it is listed.
+    /// The instance name under which it is listed.
     pub instance: InstanceName,
-    /// When this life began, in milliseconds since 1970, where it tells that.
+    /// Start time of this generation in milliseconds since 1970, if the entry has one.
     pub born_ms: Option<u64>,
-    /// The service that it belongs to.
+    /// The service that it serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// The zone that it runs in.
     pub zone: ZoneName,
-    /// The version of its software.
+    /// Its software version.
     pub version: EngineVersion,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving: no new requests.
+    /// Whether it is draining and accepts no new requests.
     pub draining: bool,
-    /// Whether it may be taken away at short notice.
+    /// Whether it may be reclaimed at short notice.
     pub reclaimable: bool,
 }
 
 impl Backend {
-    /// Whether `other` is an earlier life of the same instance.
+    /// Whether `other` is an earlier generation of the same instance.
     fn follows(&self, other: &Backend) -> bool {
         matches!((self.born_ms, other.born_ms), (Some(born), Some(before)) if born > before)
     }
@@ -66,71 +68,72 @@
     digest: u64,
     backends: BackendsByInstance,
     expired: BackendsByInstance,
-    /// What was read of the first list before all of it is known.
+    /// Pages of the first list that were read before the whole list is known.
     partial_list: BackendsByInstance,
-    /// The same by their lives; made anew with each change.
+    /// The back ends of the three maps above by generation; rebuilt on each change.
     by_id: Arc<HashMap<BackendId, Arc<Backend>>>,
-    /// The back ends that take requests, by service; made anew with each change.
+    /// The back ends that accept requests, by service; rebuilt on each change.
     usable: Arc<HashMap<ServiceName, EngineGroups>>,
-    /// What changed lately, to be told to peers.
+    /// Recent changes, to be sent to peers.
     recent: ChangeLog,
 }
 
-/// Back ends by the name under which they are listed: of each instance one life.
+/// Back ends by instance name, one generation of each instance.
 type BackendsByInstance = BTreeMap<InstanceName, Arc<Backend>>;
 
-/// What a list that was read says of the one held.
+/// Result of comparing a list that was read from the store with the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reconciliation {
-    /// Both are the same.
+    /// Both are equal.
     Confirmed,
-    /// They differed; the one that was read is held now.
+    /// They differed; the list that was read has replaced the current one.
     Changed,
-    /// The store gave an earlier revision than the one held, which stays.
+    /// The store returned an earlier revision than the current one, which is kept.
     Outdated,
 }
 
-/// What it means when a back end is not listed any more.
+/// How to treat back ends that are no longer listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemovalCause {
-    /// It is gone.
+    /// They are gone.
     Gone,
-    /// Its entry may have lapsed while the store was away.
+    /// Their entries may have expired while the store was unavailable.
     MaybeExpired,
 }
 
 impl Directory {
-    /// The store's revision of the last change that is known here; 0 before the first.
+    /// The store revision of the last known change; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether back ends are known, or that there are none.
+    /// Whether any back ends are known, or the complete list is known to be empty.
     pub fn is_known(&self) -> bool {
         self.is_fully_loaded() || !self.partial_list.is_empty()
     }
 
-    /// Whether all back ends are known: a part of them serves callers, but says nothing of how many there are.
+    /// Whether the complete list is known. A partial list is enough to serve callers, but not to count the
+    /// back ends.
     pub fn is_fully_loaded(&self) -> bool {
         self.revision > 0
     }
 
-    /// A number that is equal for equal contents.
+    /// A digest that is equal for equal contents.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All back ends, draining ones included.
+    /// All listed back ends, including draining ones.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends.values().map(Arc::as_ref)
     }
 
-    /// One back end, listed or lapsed; `None` for a life that another has followed.
+    /// One back end, listed or expired; `None` for a generation that has been superseded.
     pub fn get(&self, id: &BackendId) -> Option<&Backend> {
         self.by_id.get(id).map(Arc::as_ref)
     }
 
-    /// Whether a life of a back end is listed, leaving ones left out.
+    /// Whether this generation of a back end is listed and not draining.
     pub fn is_listed_available(&self, id: &BackendId) -> bool {
         self.get(id).is_some_and(|known| {
             let listed = self.backends.get(&known.instance);
@@ -138,13 +141,13 @@
         })
     }
 
-    /// Back ends of a service that take new requests, lapsed ones included.
+    /// Back ends of a service that accept new requests, including expired ones.
     pub fn usable<'a>(&'a self, service: &ServiceName) -> impl Iterator<Item = &'a Backend> + use<'a> {
         let groups = self.usable.get(service);
         groups.into_iter().flat_map(EngineGroups::engines).map(Arc::as_ref)
     }
 
-    /// The same of one group.
+    /// Back ends of one group that accept new requests, including expired ones.
     pub fn usable_in_group<'a>(
         &'a self,
         service: &ServiceName,
@@ -154,12 +157,12 @@
         groups.into_iter().flat_map(move |groups| groups.engines_of(group)).map(Arc::as_ref)
     }
 
-    /// The groups of a service's back ends; `None` where it has none that takes requests.
+    /// The groups of a service's back ends; `None` if none of them accepts requests.
     pub fn groups(&self, service: &ServiceName) -> Option<&EngineGroups> {
         self.usable.get(service)
     }
 
-    /// Sorts the back ends anew.
+    /// Rebuilds the maps by generation and by service.
     fn rebuild_indexes(&mut self) {
         let mut by_service: HashMap<ServiceName, Vec<Arc<Backend>>> = HashMap::new();
         let known = self.backends.values().chain(self.expired.values()).chain(self.partial_list.values());
@@ -171,19 +174,19 @@
         self.usable = Arc::new(groups.collect());
     }
 
-    /// Back ends whose entries lapsed and are not listed again yet.
+    /// Number of back ends whose entries expired and that are not listed again yet.
     pub fn expired(&self) -> usize {
         self.expired.len()
     }
 
-    /// Takes lapsed back ends for gone; returns whether there were any.
+    /// Drops the expired back ends; returns whether there were any.
     pub fn drop_expired(&mut self) -> bool {
         let dropped = !std::mem::take(&mut self.expired).is_empty();
         self.rebuild_indexes();
         dropped
     }
 
-    /// Uses what was read of the first list until the whole is known; returns whether it is used.
+    /// Uses a partly read first list until the whole list is known; returns whether it is used.
     pub fn use_partial_list(&mut self, read: Vec<Backend>) -> bool {
         if self.is_fully_loaded() {
             return false;
@@ -194,7 +197,7 @@
         true
     }
 
-    /// Keeps what has vanished since `before` as lapsed, and forgets what is listed again.
+    /// Keeps back ends that disappeared since `before` as expired, and removes those that are listed again.
     fn update_expired(&mut self, before: BackendsByInstance, removal_cause: RemovalCause) {
         if removal_cause == RemovalCause::MaybeExpired {
             self.expired.extend(before.into_iter().filter(|(_, backend)| !backend.draining));
@@ -204,23 +207,23 @@
         self.rebuild_indexes();
     }
 
-    /// The whole as a snapshot, for peers.
+    /// The whole list as a snapshot, for peers.
     pub fn snapshot(&self) -> DirectorySnapshot {
         DirectorySnapshot { revision: self.revision, backends: self.backends().cloned().collect() }
     }
 
-    /// Whether a later life is listed than the one that an entry is of: an engine's last entry may be written after the first
-    /// one of its next life.
+    /// Whether the list has a newer generation than the one of this entry. An engine's last entry may be
+    /// written after the first entry of its next generation.
     pub fn has_newer_generation(&self, backend: &Backend) -> bool {
         self.backends.get(&backend.instance).is_some_and(|known| known.follows(backend))
     }
 
-    /// What changed after `held`, a revision that a peer holds; `None` where that is not known any more.
+    /// Changes after revision `held` of a peer; `None` if they are no longer logged.
     pub fn changes_since(&self, held: u64) -> Option<DirectoryChanges> {
         self.recent.since(held)
     }
 
-    /// Takes a snapshot if it is newer; returns whether it was taken.
+    /// Installs a snapshot if it is newer; returns whether it was installed.
     pub fn replace(&mut self, snapshot: DirectorySnapshot, removal_cause: RemovalCause) -> bool {
         if snapshot.revision <= self.revision {
             return false;
@@ -229,8 +232,9 @@
         true
     }
 
-    /// Takes a list that was read from the store at one moment, also where it has the revision of the list held and other contents:
-    /// then what led to this revision left something out. Peers are not told what led there any more.
+    /// Installs a list that was read from the store at a single revision, even if it has the current revision
+    /// but other contents: in that case the changes that led to the current revision were incomplete. These
+    /// changes are no longer sent to peers.
     pub fn reconcile(&mut self, read: DirectorySnapshot, removal_cause: RemovalCause) -> Reconciliation {
         if read.revision < self.revision {
             return Reconciliation::Outdated;
@@ -253,7 +257,8 @@
         let listed = listed.collect();
         let before = std::mem::replace(&mut self.backends, listed);
         let changes = differences(&before, &self.backends);
-        // What came and went between both revisions is not known, so only who holds just the earlier one can be told.
+        // Back ends that were added and removed again between both revisions are not known, so only a peer
+        // that holds exactly the earlier revision can be sent these changes.
         self.recent
             .add(self.revision..=self.revision, DirectoryChanges { revision: snapshot.revision, changes });
         self.revision = snapshot.revision;
@@ -262,8 +267,9 @@
         self.digest = digest_of(self.backends.values().map(Arc::as_ref));
     }
 
-    /// Takes changes that a peer told to a node that held `base`; returns whether they were taken. They may leave out what came
-    /// and went since, so only the list of just this revision may take them.
+    /// Applies changes that a peer sent to a node that held revision `base`; returns whether they were
+    /// applied. They may omit back ends that were added and removed again since `base`, so they apply only to
+    /// a list of exactly this revision.
     pub fn apply_peer_changes(
         &mut self,
         base: u64,
@@ -273,10 +279,10 @@
         self.revision == base && self.apply(base, changes, removal_cause)
     }
 
-    /// Takes changes that follow `base`; returns whether they were taken. Changes are refused when
-    /// this directory is not at least at `base`, because some between would be missing, and when
-    /// it is already beyond them. An empty answer counts, too: it says that nothing has changed up to
-    /// its revision, from which the next will follow.
+    /// Applies changes that follow `base`; returns whether they were applied. Changes are rejected if this
+    /// directory is older than `base`, because intermediate changes would be missing, and if it is already at
+    /// or past their revision. An empty set of changes counts, too: it means that nothing changed up to its
+    /// revision, from which the next set will follow.
     pub fn apply(&mut self, base: u64, changes: DirectoryChanges, removal_cause: RemovalCause) -> bool {
         if self.revision < base || changes.revision <= self.revision {
             return false;
@@ -306,7 +312,7 @@
             DirectoryChanges { revision: changes.revision, changes: applied },
         );
         let was_incomplete = !std::mem::take(&mut self.partial_list).is_empty();
-        // An answer of a quiet watch, each few seconds, changes nothing but the revision.
+        // A quiet watch responds every few seconds and changes nothing but the revision.
         if has_changed || was_incomplete {
             self.update_expired(removed, removal_cause);
         }
@@ -314,7 +320,7 @@
     }
 }
 
-/// What turns one list into another.
+/// Changes that turn one list into another.
 fn differences(before: &BackendsByInstance, after: &BackendsByInstance) -> Vec<DirectoryChange> {
     let is_gone = |instance: &&InstanceName| !after.contains_key(*instance);
     let gone = before.keys().filter(is_gone).map(|instance| DirectoryChange::Gone(instance.clone()));
@@ -323,12 +329,12 @@
     gone.chain(changed.map(|backend| DirectoryChange::Changed(Backend::clone(backend)))).collect()
 }
 
-/// A number that is equal for lists of equal contents.
+/// A digest that is equal for lists of equal contents.
 pub fn digest_of<'a>(backends: impl Iterator<Item = &'a Backend>) -> u64 {
     backends.fold(0, |sum, backend| sum ^ digest(backend))
 }
 
-/// A back end's part of the digest of its list, which is all parts combined by exclusive or.
+/// A back end's part of the digest of its list. The digest is the exclusive or of all parts.
 fn digest(backend: &Backend) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(backend.id.as_str().as_bytes());
--- a/crates/beamwall-gateway/src/directory_log.rs
+++ b/crates/beamwall-gateway/src/directory_log.rs
@@ -1,4 +1,5 @@
-//! What changed lately in a list of back ends, so that a peer that lacks some revisions need not be told the whole list.
+//! Log of recent changes to a list of back ends, so that a peer that lacks some revisions need not be sent
+//! the whole list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::RangeInclusive;
@@ -8,28 +9,29 @@
 
 use crate::ports::{DirectoryChange, DirectoryChanges};
 
-/// Changes that are remembered, in some 0.4 MB: those of two seconds in which 3,000 back ends are listed one after another. With
-/// fewer, nodes on fast links gave the whole list again and again meanwhile.
+/// Number of changes kept, which takes about 0.4 MB: the changes of two seconds in which 3,000 back ends are
+/// listed one after another. With a smaller log, nodes on fast links sent the whole list repeatedly during
+/// that time.
 const MAX_LOGGED_CHANGES: usize = 4_096;
 
-/// One step of a list from revision to revision.
+/// Changes that lead from one revision of the list to another.
 #[derive(Debug, Clone, PartialEq)]
 struct Step {
-    /// The revisions from which the changes lead on.
+    /// The revisions to which the changes can be applied.
     from: RangeInclusive<u64>,
     changes: Arc<DirectoryChanges>,
 }
 
-/// The last steps of a list, the oldest first. Each begins where the one before ends, or earlier.
+/// The last steps of a list, oldest first. Each starts where the previous one ends, or earlier.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct ChangeLog {
     steps: VecDeque<Step>,
-    /// Changes in all steps.
+    /// Total number of changes in all steps.
     logged_changes: usize,
 }
 
 impl ChangeLog {
-    /// Adds a step that leads on from any of the revisions `from`.
+    /// Adds a step that applies to any of the revisions `from`.
     pub(crate) fn add(&mut self, from: RangeInclusive<u64>, changes: DirectoryChanges) {
         self.logged_changes += changes.changes.len();
         self.steps.push_back(Step { from, changes: Arc::new(changes) });
@@ -39,7 +41,8 @@
         }
     }
 
-    /// The changes after a revision, of each back end the last; `None` where no remembered step leads on from there.
+    /// The changes after a revision, merged to the last change of each back end; `None` if no logged step
+    /// applies to that revision.
     pub(crate) fn since(&self, held: u64) -> Option<DirectoryChanges> {
         let first = self.steps.iter().rposition(|step| step.from.contains(&held))?;
         let steps = self.steps.range(first..);
--- a/crates/beamwall-gateway/src/directory_staleness.rs
+++ b/crates/beamwall-gateway/src/directory_staleness.rs
@@ -1,10 +1,11 @@
-//! What speaks against the list of back ends that is held here, and when to read it anew because of that.
+//! Collects evidence that this node's list of back ends is stale, and decides when to reload it.
 //!
-//! A watch tells changes only, and whoever follows it believes that none was left out. Where the store, or what stands between,
-//! passes one over, no later answer tells of it. So the list is held against what else is seen: back ends that are listed and
-//! can't be reached for longer than their entries outlive them, peers whose list differs at the same revision, and a list that
-//! the store gave more cheaply and later. Each is a reason to read the list, no proof: a crashed back end is listed for a while
-//! too. So readings that find nothing new come at longer and longer pauses.
+//! A watch reports only changes, and its client assumes that none is missing. If the store or a proxy omits
+//! one, no later response shows it. The list is therefore compared with other observations: listed back ends
+//! that stay unreachable for longer than their entries last, peers whose list differs at the same revision,
+//! and lists that the store returned from a cheaper, possibly stale read. Each of these is a reason to reload
+//! the list, not a proof, since a crashed back end also stays listed for a while. Reloads that find no
+//! difference are therefore repeated with exponential backoff.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,45 +17,46 @@
 
 use crate::directory::Directory;
 
-/// Time for which a listed back end can't be reached until the list is doubted: most entries of crashed back ends have lapsed by then.
+/// Time for which a listed back end must be unreachable before the list is reloaded. Most entries of crashed
+/// back ends have expired by then.
 const UNREACHABLE_THRESHOLD: Duration = Duration::from_secs(2);
-/// Time after its last try for which a back end counts as not reached.
+/// Time after the last failed connection for which a back end counts as unreachable.
 const FAILURE_MEMORY: Duration = Duration::from_secs(10);
-/// Time for which a peer's list must differ: news of one change reaches nodes at different moments.
+/// Time for which a peer's list must differ, since a change reaches nodes at different times.
 const DISAGREEMENT_THRESHOLD: Duration = Duration::from_millis(600);
-/// Silence after which a peer's list says nothing any more.
+/// Time after which a peer's last report of its list is ignored.
 const PEER_REPORT_TTL: Duration = Duration::from_secs(3);
-/// Pause after a reading; it doubles with each one that finds nothing new.
+/// Delay after a reload; it doubles with each reload that finds no difference.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(2);
-/// Longest pause.
+/// Longest delay between reloads.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Why the list is doubted.
+/// Why the list may be stale.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StalenessEvidence {
     /// A listed back end can't be reached.
     Unreachable(BackendId),
-    /// So many peers hold another list of the same revision.
+    /// This many peers hold a different list of the same revision.
     PeersDisagree(usize),
-    /// The store gave another list, which may be older.
+    /// The store returned a different list, which may be older.
     StoreDisagrees,
 }
 
-/// Tries at one back end, none of which reached it.
+/// Time range of the failed connections to one back end, without any success in between.
 #[derive(Debug, Clone, Copy)]
 struct ConnectFailures {
     first: Instant,
     last: Instant,
 }
 
-/// The list that a peer told.
+/// The list that a peer reported.
 #[derive(Debug, Clone, Copy)]
 struct PeerList {
     revision: u64,
     digest: u64,
-    /// Since when it tells just this one.
+    /// Since when the peer has reported this list.
     since: Instant,
-    /// When it told it last.
+    /// Time of the peer's last report.
     last_reported: Instant,
 }
 
@@ -67,7 +69,7 @@
     backoff: Option<Duration>,
 }
 
-/// What speaks against the list.
+/// Evidence that the list is stale.
 #[derive(Debug, Default)]
 pub struct StalenessTracker {
     state: Mutex<State>,
@@ -78,7 +80,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a back end took no connection, or that another one answers in its place.
+    /// Records that a back end accepted no connection, or that another one responds at its address.
     pub fn note_connect_failure(&self, backend: &BackendId, now: Instant) {
         let mut state = self.lock();
         let failures = state
@@ -91,7 +93,7 @@
         failures.last = now;
     }
 
-    /// Notes that a back end answered.
+    /// Records that a back end responded.
     pub fn note_response(&self, backend: &BackendId) {
         let mut state = self.lock();
         if !state.connect_failures.is_empty() {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Notes the list that a peer holds.
+    /// Records the list that a peer reported.
     pub fn note_peer(&self, peer: SocketAddr, revision: u64, digest: u64, now: Instant) {
         let mut state = self.lock();
         let reported = PeerList { revision, digest, since: now, last_reported: now };
@@ -108,13 +110,14 @@
         *known = if is_same { PeerList { last_reported: now, ..*known } } else { reported };
     }
 
-    /// Notes that the store gave another list than the one held.
+    /// Records that the store returned a list that differs from the current one.
     pub fn note_store_disagrees(&self) {
         self.lock().store_disagrees = true;
     }
 
-    /// Why the list should be read now; `None` where nothing speaks against it, or it was read a moment ago. A node that watches
-    /// for others doubts with the first peer that differs, another one where it stands alone with half of them.
+    /// Returns why the list should be reloaded now; `None` if there is no evidence or the last reload is too
+    /// recent. A node that watches the store on behalf of others reloads as soon as one peer differs. Any
+    /// other node reloads only if at least as many peers differ as agree, counting itself as agreeing.
     pub fn reason(&self, directory: &Directory, watches: bool, now: Instant) -> Option<StalenessEvidence> {
         let state = self.lock();
         if state.next_reload.is_some_and(|at| now < at) {
@@ -131,7 +134,7 @@
         state.unreachable_back_end(directory, now).map(StalenessEvidence::Unreachable)
     }
 
-    /// Notes that the list was read whole, and whether it differed from what was held.
+    /// Records that the whole list was reloaded, and whether it differed from the previous one.
     pub fn note_reload(&self, has_changed: bool, now: Instant) {
         let mut state = self.lock();
         state.store_disagrees = false;
@@ -145,34 +148,34 @@
         state.next_reload = Some(now + backoff);
     }
 
-    /// Forgets back ends that are gone.
+    /// Removes back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.lock().connect_failures.retain(|backend, _| is_known(backend));
     }
 }
 
 impl State {
-    /// Peers that have held another list of the same revision for a while.
+    /// Number of peers that have held a different list of the same revision for some time.
     fn differing(&self, directory: &Directory, now: Instant) -> usize {
         let lasts = |list: &&PeerList| now.saturating_duration_since(list.since) >= DISAGREEMENT_THRESHOLD;
         let differs = |list: &&PeerList| list.digest != directory.digest();
         self.peers_at(directory.revision(), now).filter(differs).filter(lasts).count()
     }
 
-    /// Peers that hold the same list.
+    /// Number of peers that hold the same list.
     fn agreeing(&self, directory: &Directory, now: Instant) -> usize {
         let agrees = |list: &&PeerList| list.digest == directory.digest();
         self.peers_at(directory.revision(), now).filter(agrees).count()
     }
 
-    /// The lists of a revision that were told a moment ago.
+    /// Recent peer reports of the list at a revision.
     fn peers_at(&self, revision: u64, now: Instant) -> impl Iterator<Item = &PeerList> {
         let is_fresh =
             move |list: &&PeerList| now.saturating_duration_since(list.last_reported) < PEER_REPORT_TTL;
         self.peers.values().filter(move |list| list.revision == revision).filter(is_fresh)
     }
 
-    /// A listed back end that could not be reached for long.
+    /// A listed back end that has been unreachable for a long time.
     fn unreachable_back_end(&self, directory: &Directory, now: Instant) -> Option<BackendId> {
         let mut connect_failures = self.connect_failures.iter().filter(|(backend, failures)| {
             failures.last.saturating_duration_since(failures.first) >= UNREACHABLE_THRESHOLD
--- a/crates/beamwall-gateway/src/event_stream.rs
+++ b/crates/beamwall-gateway/src/event_stream.rs
@@ -1,37 +1,37 @@
 //! Splits the bytes of an event stream into whole events.
 //!
-//! Only whole events are passed on: an engine may stop partway through one, and another engine then
-//! continues after the last whole event.
+//! Only whole events are forwarded: an engine may stop in the middle of an event, and another engine then
+//! continues after the last whole one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest single event; more bytes without an end are not an event stream.
+/// Largest single event. A longer run of bytes without an end of event is not an event stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One whole event with its terminating blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The event's bytes as they came.
+    /// The event's bytes as received.
     pub bytes: Bytes,
-    /// Its number, if it carries one.
+    /// The event's id, if it has one.
     pub id: Option<u64>,
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and returns whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    /// Pending bytes that are known to hold no event's end.
+    /// Number of pending bytes already scanned without finding the end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next whole event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = find_end(&self.pending, self.scanned);
         let Some(end) = end else {
@@ -44,12 +44,12 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Bytes of an event that has not ended.
+    /// Bytes of the incomplete event at the end.
     pub fn rest(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Whether more bytes are pending than any event may have.
+    /// Whether more bytes are pending than an event may have.
     pub fn exceeds_limit(&self) -> bool {
         self.pending.len() > MAX_EVENT_BYTES
     }
--- a/crates/beamwall-gateway/src/failover.rs
+++ b/crates/beamwall-gateway/src/failover.rs
@@ -1,5 +1,6 @@
-//! Fails over from a silent back end: first the right to another attempt and a back end that takes it, then the end of the
-//! attempt that runs. Until both are there the request waits on, since late answers are better than none.
+//! Fails over from a silent back end. A further attempt and a back end for it are reserved first, and only
+//! then is the current attempt cancelled. Until both are available the request keeps waiting, since a late
+//! response is better than none.
 
 use std::time::Duration;
 
@@ -13,14 +14,14 @@
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 
-/// Time between two looks for another back end.
+/// Interval between tries to reserve another back end.
 const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// An attempt that is over, with the back end that is reserved for the next one, if any.
+/// A failed attempt and the back end reserved for the next one, if any.
 pub struct FailedAttempt {
-    /// Why it is over.
+    /// Why the attempt failed.
     pub failure: AttemptFailure,
-    /// Where the request goes on.
+    /// The back end of the next attempt.
     pub next: Option<Choice>,
 }
 
@@ -30,8 +31,9 @@
     }
 }
 
-/// Reserves a back end for a request whose attempt at `silent` has given no sign for too long, as soon as there is one; never
-/// returns where there is none. `sent`: how often the request has been sent, the attempt that runs included.
+/// Reserves another back end for a request whose attempt at `silent` has produced no data for too long.
+/// Retries until one is available and never returns if there is none. `sent` is the number of times the
+/// request was sent, including the current attempt.
 pub(crate) async fn reserve_next_back_end(
     forwarder: &Forwarder,
     call: &Call,
--- a/crates/beamwall-gateway/src/fleet_clock.rs
+++ b/crates/beamwall-gateway/src/fleet_clock.rs
@@ -1,9 +1,10 @@
-//! The time of day that most nodes agree on.
+//! The time of day agreed on by most nodes.
 //!
-//! Usage is billed by windows of true time. The clock of one machine may be seconds off, or step while it runs: of 70 nodes
-//! with 21 clocks 2 s off, a window of 5 s had 213 of 2,287 requests too few. So each node takes the median of the clocks that
-//! it hears, its own among them, and keeps it by a steady clock, which no step moves. That clock counts the time that the machine
-//! was suspended; without, the time of day of a machine that wakes would be late until its peers are heard again.
+//! Usage is billed by windows of true time. The clock of a single machine may be off by seconds or jump while
+//! it runs: with 21 of 70 nodes' clocks off by 2 s, a window of 5 s lacked 213 of 2,287 requests. Each node
+//! therefore uses the median of its own clock and its peers' clocks, and extrapolates it with a monotonic
+//! clock, which does not jump. The monotonic clock includes the time for which the machine was suspended;
+//! otherwise the time of day would be late after a resume until the peers' clocks are received again.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,24 +13,25 @@
 use beamwall_model::{NodeId, since_1970_ms};
 use tokio::time::Instant;
 
-/// Time for which the reading of a peer's clock counts: some heartbeats.
+/// Time for which the reading of a peer's clock is valid: several heartbeats.
 const CLOCK_READING_TTL: Duration = Duration::from_secs(5);
-/// Peers whose clocks must be known before they count: two against one say which is wrong.
+/// Number of peers whose clocks must be known before they are used. With two peers, the wrong one of three
+/// clocks can be identified.
 const MIN_PEERS: usize = 2;
-/// Microseconds in a second.
+/// Microseconds per second.
 const MICROS: i128 = 1_000_000;
 
-/// A reading of a clock: the time of day less the steady time of the node that read it.
+/// A clock reading: the offset of a time of day from the monotonic time of the node that recorded it.
 #[derive(Debug, Clone, Copy)]
 struct ClockReading {
     offset_us: i128,
     at: Instant,
 }
 
-/// The time of day that most nodes agree on, as one node knows it.
+/// The time of day agreed on by most nodes, as estimated by one node.
 #[derive(Debug)]
 pub struct FleetClock {
-    /// Any moment, from which the steady time is counted.
+    /// Arbitrary origin of the monotonic time.
     steady_origin: Instant,
     readings: Mutex<HashMap<NodeId, ClockReading>>,
 }
@@ -50,13 +52,14 @@
         of_day - now.saturating_duration_since(self.steady_origin).as_micros() as i128
     }
 
-    /// Notes the time of day that a peer told just now. What it took on its way counts as the clock being late: some ms.
+    /// Records the time of day that a peer just reported. The message's network delay, a few ms, makes the
+    /// peer's clock appear late by as much.
     pub fn record_peer_time(&self, peer: &NodeId, reported: SystemTime, now: Instant) {
         let reading = ClockReading { offset_us: self.offset_us(reported, now), at: now };
         self.lock().insert(peer.clone(), reading);
     }
 
-    /// The time of day, where this node's own clock says `own`.
+    /// The agreed time of day, given that this node's own clock reads `own`.
     pub fn time(&self, own: SystemTime, now: Instant) -> SystemTime {
         let mut readings = self.lock();
         readings.retain(|_, reading| now.saturating_duration_since(reading.at) < CLOCK_READING_TTL);
@@ -74,12 +77,12 @@
         UNIX_EPOCH + Duration::new(seconds, (of_day_us % MICROS) as u32 * 1_000)
     }
 
-    /// The time of day now.
+    /// The agreed time of day.
     pub fn now(&self) -> SystemTime {
         self.time(SystemTime::now(), beamwall_clock::now())
     }
 
-    /// The same in milliseconds since 1970.
+    /// The agreed time of day in milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
         since_1970_ms(self.now())
     }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Carries one request through its attempts.
+//! Chooses back ends for a request and holds the state that forwarding needs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,27 +31,28 @@
 use crate::retries::RetryBudgets;
 use crate::usage::UsageLedger;
 
-/// Highest rank that is told to back ends.
+/// Highest rank sent to back ends; the least urgent.
 const LOWEST_PRIORITY_RANK: u8 = 9;
-/// Ranks of routes within one rank of a tenant.
+/// Number of route ranks within one tenant rank.
 const RANKS_PER_TENANT_RANK: u8 = 3;
 
-/// Groups of engines that are asked for a request: a second one where the first can't begin soon or does not answer.
+/// Groups of engines queried for one request: the second one if the first can't start the request soon or
+/// does not respond.
 const MAX_GROUPS_QUERIED: usize = 2;
-/// Part of its route's objective within which a request begins soon enough in the first group.
+/// Fraction of the route's objective within which a start in the first group is acceptable.
 const ACCEPTABLE_DELAY_SHARE: f64 = 0.5;
 
-/// Part of its route's objective within which an engine reads a short prompt.
+/// Fraction of the route's objective within which a prompt must be prefilled to count as short.
 const SHORT_PREFILL_SHARE: f64 = 0.04;
 
-/// A caller's request, read whole, with what was decided on arrival.
+/// A caller's request, completely received, with the decisions made on arrival.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The caller's identifier of this try.
+    /// The caller's identifier of this try of the request.
     pub request_id: Option<String>,
-    /// What all tries of this request have in common.
+    /// Identifies the request across its retries by the caller.
     pub fingerprint: Fingerprint,
-    /// How it may be sent.
+    /// Whether it may be sent normally or only as a trial.
     pub admission: Admission,
     /// Method.
     pub method: Method,
@@ -65,19 +66,19 @@
     pub route: Arc<Route>,
     /// The service chosen among the route's.
     pub service: ServiceName,
-    /// The tenant; absent on public routes.
+    /// The tenant; `None` on public routes.
     pub tenant: Option<TenantRef>,
     /// The prompt, for model engines.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller has, when it resumes a stream.
+    /// The last event that the caller received, when it resumes a stream.
     pub last_event: Option<u64>,
     /// When it arrived.
     pub received: Instant,
-    /// Time for which the machine had been suspended when it arrived.
+    /// Total time for which the machine had been suspended when the request arrived.
     pub suspended_before: Duration,
-    /// When its time is up: the caller's patience or the route's limit, whichever is first.
+    /// Deadline: the caller's timeout or the route's limit, whichever is earlier.
     pub deadline: Instant,
-    /// The version of the policy that decided.
+    /// The policy version that was in force on arrival.
     pub policy_version: u64,
 }
 
@@ -87,19 +88,20 @@
         self.request_id.clone().unwrap_or_default()
     }
 
-    /// Time that is left to the caller. Engines are told it, so it runs on while the machine is suspended.
+    /// Time left until the deadline. It is sent to engines, so it keeps running while the machine is
+    /// suspended.
     pub fn remaining(&self) -> Duration {
         let asleep = beamwall_clock::asleep().saturating_sub(self.suspended_before);
         self.deadline.saturating_duration_since(Instant::now()).saturating_sub(asleep)
     }
 
-    /// Waits until the caller's time is up, also where the machine sleeps meanwhile: a caller that still waits is answered soon after
-    /// it wakes.
+    /// Waits until the deadline, also across a suspension of the machine: a caller that still waits gets a
+    /// response soon after the machine resumes.
     pub async fn deadline_elapsed(&self) {
         timers::sleep(self.remaining()).await;
     }
 
-    /// Back ends to which it may be sent.
+    /// Maximum number of back ends to which it may be sent.
     pub fn attempt_limit(&self) -> u32 {
         match self.admission {
             Admission::Usual => self.route.attempt_limit.max(1),
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Whether it may go to another back end while one of the `sent` that it was sent to may have run it.
+    /// Whether it may fail over to another back end after it was sent `sent` times, although one of these
+    /// back ends may have executed it.
     pub fn may_fail_over(&self, sent: u32) -> bool {
         self.route.kind.is_idempotent() && sent < self.attempt_limit()
     }
@@ -117,9 +120,10 @@
         self.tenant.as_ref().map(|tenant| tenant.name.to_string()).unwrap_or_default()
     }
 
-    /// The rank told to back ends: the tenant's goes before the route's. A short prompt is level with the next
-    /// more urgent kind, never ahead of it: it holds others up for some milliseconds and would else wait
-    /// for seconds behind their long ones. `reading_ms` is the time to read the whole prompt, where it is known.
+    /// The rank sent to back ends: the tenant's rank first, then the route's. A short prompt is moved up to
+    /// the next more urgent route rank, but never above it: it delays others by a few milliseconds, while it
+    /// would otherwise wait for seconds behind long prompts of its own rank. `prefill_ms` is the time to
+    /// prefill the whole prompt, if known.
     pub fn rank(&self, prefill_ms: Option<f64>) -> u8 {
         let tenant = self.tenant.as_ref().and_then(|tenant| tenant.rank).unwrap_or(0);
         let short_ms = self.route.objective_ms as f64 * SHORT_PREFILL_SHARE;
@@ -129,43 +133,44 @@
     }
 }
 
-/// What forwarding needs; shared by all requests of a node.
+/// State that forwarding needs, shared by all requests of a node.
 pub struct Forwarder {
     /// This node.
     pub node: NodeId,
     /// This node's zone.
     pub zone: ZoneName,
-    /// Reads and writes heads.
+    /// Reads and writes request and response heads.
     pub dialect: Arc<dyn Dialect>,
     /// Connections to back ends.
     pub pool: Pool,
     /// The back ends.
     pub directory: Arc<ArcSwap<Directory>>,
-    /// What is known of them beside.
+    /// State of the back ends in addition to the directory.
     pub backend_state: BackendState,
     /// Chooses among back ends.
     pub chooser: Chooser,
-    /// Asks the node that places requests for all.
+    /// Queries the placement nodes.
     pub placement: Arc<dyn PlacementPort>,
-    /// Work that callers ask for.
+    /// Work requested by callers.
     pub demand: DemandTracker,
-    /// Rollouts of other versions.
+    /// Rollouts of new versions.
     pub rollouts: RolloutBook,
-    /// Requests under which back ends end.
+    /// Requests suspected of terminating back ends.
     pub quarantine: Arc<Quarantine>,
     /// Retry budgets.
     pub retries: RetryBudgets,
-    /// What is billed.
+    /// Requests to be billed.
     pub usage: UsageLedger,
-    /// The time of day by which it is.
+    /// The fleet clock, by which usage is billed.
     pub clock: Arc<FleetClock>,
     /// Metrics.
     pub metrics: GatewayMetrics,
 }
 
 impl Forwarder {
-    /// Chooses a back end for the next attempt, but none of `avoided`, and logs the decision. The engine of a model
-    /// request is chosen by the nodes that place in the groups of its service, as long as one of them answers.
+    /// Chooses a back end for the next attempt that is not in `avoided`, and logs the decision. The engine of
+    /// a model request is chosen by the placement nodes of the service's groups, as long as one of them
+    /// responds.
     pub async fn choose(&self, call: &Call, avoided: &[BackendId]) -> Option<Choice> {
         let versions = self.rollouts.rule(&call.service, call.request_id.as_deref(), beamwall_clock::now());
         let choice = self.choose_among(call, avoided, versions.as_ref()).await?;
@@ -173,7 +178,7 @@
         Some(choice)
     }
 
-    /// Notes and logs where the next attempt goes.
+    /// Records and logs the back end of the next attempt.
     pub(crate) fn note_chosen(&self, call: &Call, choice: &Choice) {
         self.note_sent(&call.service, &choice.backend);
         emit(&AttemptSent {
@@ -194,8 +199,9 @@
         });
     }
 
-    /// Chooses among the versions that may take a request. A few back ends of a new version are known to all senders, so these
-    /// choose among them by themselves; where none of them can, an old one takes the request.
+    /// Chooses among the versions that may serve a request. A canary's few back ends are known to all
+    /// senders, so the senders choose among them directly; if none of them is available, the old version
+    /// serves the request.
     async fn choose_among(
         &self,
         call: &Call,
@@ -222,8 +228,8 @@
         }
     }
 
-    /// Counts an answer for the rollout of its service, if there is one. It is bad where it failed or took several times as
-    /// long as is expected.
+    /// Counts a response for the rollout of its service, if there is one. It is bad if the request failed or
+    /// took several times as long as expected.
     pub fn note_answer(&self, call: &Call, backend: &BackendId, is_bad: bool) {
         if let Some(listed) = self.directory.load().get(backend) {
             self.rollouts.note_answer(&call.service, &call.route.name, backend, &listed.version, is_bad);
@@ -283,7 +289,7 @@
         }
     }
 
-    /// Asks the node that places in one group of engines.
+    /// Queries the placement node of one group of engines.
     async fn query_group(
         &self,
         call: &Call,
@@ -302,7 +308,8 @@
         }
     }
 
-    /// Whether this node, which may know more, may send a request where it was placed.
+    /// Whether a placed request may be sent there. This node may have newer information than the placement
+    /// node.
     fn accepts_placement(
         &self,
         call: &Call,
@@ -318,14 +325,14 @@
         is_usable && !avoided.contains(backend)
     }
 
-    /// Places a request for any node, and counts its prompt as queued there unless it will be refused or another group is
-    /// asked.
+    /// Places a request on behalf of any node. Counts its prompt as queued at the chosen engine, unless the
+    /// request will be refused or another group is queried.
     pub fn place(&self, engine_query: &PlacementQuery) -> Option<Choice> {
         let now = Instant::now();
         self.backend_state.reports.note(&engine_query.sender, &engine_query.unreachable, now);
         self.backend_state.models.hear_report(engine_query.observed.clone(), now);
         let avoided = [engine_query.tried.as_slice(), &engine_query.unreachable].concat();
-        // Who sends to a few back ends of a new version chooses them itself, so this is for all others.
+        // Senders choose canary back ends themselves, so this applies to all other requests.
         let versions = self.rollouts.rule(&engine_query.service, None, beamwall_clock::now());
         let search = Search {
             service: &engine_query.service,
@@ -368,15 +375,16 @@
         self.find(search, call.route.gap_objective_ms)
     }
 
-    /// Requests that run at a back end, of which the node that chose it knew `known_when_chosen`. Of engines in groups this
-    /// node hears only from its own zone, so there the larger number is nearer.
+    /// Number of requests that run at a back end. `known_when_chosen` is the number known to the node that
+    /// chose it. If engines are divided into groups, this node receives reports only from its own zone, so
+    /// the larger number is more accurate.
     pub fn running(&self, service: &ServiceName, backend: &BackendId, known_when_chosen: u32) -> u32 {
         let reported = self.backend_state.loads.total(backend).requests;
         let is_divided = self.directory.load().groups(service).is_some_and(EngineGroups::is_divided);
         if is_divided { reported.max(known_when_chosen) } else { reported }
     }
 
-    /// What is expected of a service's back ends.
+    /// Model estimates for a service's back ends.
     pub fn estimates(&self, service: &ServiceName) -> Arc<ServiceEstimates> {
         self.backend_state.models.estimates(service)
     }
@@ -400,14 +408,14 @@
         })
     }
 
-    /// Time to read a call's whole prompt, where it has one and the service is known.
+    /// Time to prefill a call's whole prompt, if it has one and the service's model is trained.
     pub fn call_prefill_ms(&self, call: &Call) -> Option<f64> {
         let prompt = call.prompt.as_ref()?;
         let whole = Reading::of_rest(0, u64::from(prompt.prompt_tokens));
         self.estimates(&call.service).reading_ms(whole)
     }
 
-    /// Counts a request that a back end began to run.
+    /// Counts a request that a back end started to execute.
     pub fn record_usage(&self, call: &Call) {
         if let Some(tenant) = &call.tenant {
             self.usage.record(&tenant.name, self.clock.now());
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: what is decided on arrival, and the final answer.
+//! Handles callers' requests: the decisions made on arrival, and the final response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::refusal::Refusal;
 use crate::{startup, stream, unary};
 
-/// Longest time that a caller may take to send a body.
+/// Time limit for receiving a caller's request body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait until peers are told what passed here: the pause between two heartbeats in the largest zone whose nodes
-/// all tell each other.
+/// Longest wait for a report of this node's quota usage to its peers: the heartbeat interval in the largest
+/// zone whose nodes all report to each other directly.
 const REPORT_WAIT_LIMIT: Duration = Duration::from_millis(350);
-/// Kinds of route in metrics.
+/// Label of a kind of route in metrics.
 const fn kind_name(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Repeatable => "repeatable",
@@ -37,25 +37,25 @@
     }
 }
 
-/// All that decides on a caller's request.
+/// State needed to handle callers' requests.
 pub struct Gateway {
     /// The policy in force.
     pub policy: Arc<ArcSwap<PolicyIndex>>,
-    /// Quotas.
+    /// Quotas of the tenants.
     pub quotas: QuotaBook,
-    /// Forwarding.
+    /// Forwards requests to back ends.
     pub forwarder: Arc<Forwarder>,
-    /// Told when the peers should hear at once.
+    /// Notified when peers should be sent this node's state immediately.
     pub peer_notify: Arc<Notify>,
 }
 
-/// Answers callers.
+/// HTTP handler for callers.
 pub struct GatewayHandler {
     gateway: Arc<Gateway>,
 }
 
 impl GatewayHandler {
-    /// A handler of one gateway.
+    /// Creates a handler for a gateway.
     pub fn new(gateway: Arc<Gateway>) -> Arc<Self> {
         Arc::new(Self { gateway })
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The operator's limits: callers reuse what has rested for nearly as long.
+    /// The operator's limits, since callers reuse connections that have been idle for almost as long.
     fn next_head_limit(&self) -> Duration {
         let policy = self.gateway.policy.load();
         let limits = &policy.policy().caller_limits;
@@ -98,11 +98,11 @@
     }
 }
 
-/// What is known of a request when its answer is logged.
+/// Request data for logging the response.
 struct ResponseLogContext {
     route: Option<Arc<Route>>,
     tenant: Option<TenantRef>,
-    /// The same for all tries of one request; known once its body was read.
+    /// Equal for all tries of one request; known once its body has been received.
     fingerprint: Option<Fingerprint>,
     version: u64,
 }
@@ -164,7 +164,7 @@
 }
 
 impl Gateway {
-    /// Whether a policy and back ends are known, without which no request can be served.
+    /// Whether a policy and back ends are known. No request can be served without both.
     fn has_policy_and_back_ends(&self) -> bool {
         self.policy.load().version() > 0 && self.forwarder.directory.load().is_known()
     }
@@ -234,7 +234,8 @@
         result
     }
 
-    /// Charges the tenant. Work that fits once the peers know what passed here waits for that.
+    /// Charges the tenant's quota. Work that would fit after the next report to the peers waits for that
+    /// report.
     async fn charge(&self, call: &Call) -> Result<Option<Charge>, Refusal> {
         let Some(tenant) = &call.tenant else { return Ok(None) };
         let amount = match (tenant.counts_tokens, &call.prompt) {
@@ -251,7 +252,7 @@
                 break charged;
             }
             self.peer_notify.notify_one();
-            // Whichever ends the wait, the next look decides.
+            // After a report or the timeout, the next charge decides.
             let _ = timeout_at(charge_deadline, report_sent).await;
         };
         let charge = charged.map_err(Refusal::QuotaExceeded)?;
--- a/crates/beamwall-gateway/src/health.rs
+++ b/crates/beamwall-gateway/src/health.rs
@@ -1,8 +1,8 @@
-//! What answers say about the health of a back end.
+//! Health of back ends, derived from their responses.
 //!
-//! Health probes cost and say little: a back end may fail requests while its probe is good. Each
-//! answer to a real request is a sample; the share of failures decays with time, so a back end that
-//! was avoided is tried again.
+//! Health probes cost something and say little: a back end may fail requests while its probe succeeds.
+//! Instead, each response to a real request is a sample. The failure share decays with time, so a back end
+//! that was avoided is tried again.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,23 +13,23 @@
 
 /// Weight of the newest sample.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Time after which a share of failures counts half.
+/// Time after which the failure share has decayed by half.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-/// Time for which a back end that can't be reached is avoided.
+/// Time for which an unreachable back end is avoided.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(1_000);
 
-/// Time for which a back end that refused a request is taken to refuse more.
+/// Time for which a back end that refused a request is expected to refuse more.
 const REFUSING_FOR: Duration = Duration::from_millis(2_000);
 
-/// A back end that sent anything within this time is not silent.
+/// A back end that sent any data within this time is not silent.
 const ACTIVITY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How a back end has fared lately.
+/// Recent health of a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct HealthView {
     /// Share of failed requests, 0 to 1, decayed.
     pub failure_share: f64,
-    /// Whether it could not be reached a moment ago.
+    /// Whether it recently could not be reached.
     pub unreachable: bool,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub struct HealthTracker {
     records: Mutex<HashMap<BackendId, Record>>,
-    /// When each back end last sent anything, by the clock that counts while this process runs.
+    /// Time at which each back end last sent any data, by the clock that stops while this process is stalled.
     activity: Mutex<HashMap<BackendId, Instant>>,
 }
 
@@ -60,7 +60,8 @@
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a back end sent something, whatever it was; `now` by the clock that counts while this process runs.
+    /// Records that a back end sent any data; `now` is read from the clock that stops while this process is
+    /// stalled.
     pub fn note_activity(&self, backend: &BackendId, now: Instant) {
         let mut activity = self.activity.lock().unwrap_or_else(PoisonError::into_inner);
         match activity.get_mut(backend) {
@@ -71,18 +72,19 @@
         }
     }
 
-    /// When a back end last sent anything to this node.
+    /// Time at which a back end last sent any data to this node.
     pub fn last_activity(&self, backend: &BackendId) -> Option<Instant> {
         self.activity.lock().unwrap_or_else(PoisonError::into_inner).get(backend).copied()
     }
 
-    /// Whether a back end sent anything to this node a moment ago; `now` by the same clock.
+    /// Whether a back end recently sent any data to this node; `now` is read from the same clock as in
+    /// [`Self::note_activity`].
     pub fn is_responsive(&self, backend: &BackendId, now: Instant) -> bool {
         let activity = self.last_activity(backend);
         activity.is_some_and(|activity| now.saturating_duration_since(activity) < ACTIVITY_TIMEOUT)
     }
 
-    /// Notes an answered request and whether it failed.
+    /// Records a completed request and whether it failed.
     pub fn note(&self, backend: &BackendId, failed: bool, now: Instant) {
         let mut records = self.lock();
         let record = records.entry(backend.clone()).or_insert_with(|| Record::new(now));
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Notes that a back end could not be reached or broke a connection.
+    /// Records that a back end could not be reached or dropped a connection.
     pub fn note_unreachable(&self, backend: &BackendId, now: Instant) {
         self.note(backend, true, now);
         if let Some(record) = self.lock().get_mut(backend) {
@@ -103,19 +105,19 @@
         }
     }
 
-    /// Notes that a back end refused a request, which counts neither for nor against it.
+    /// Records that a back end refused a request, which is neither a success nor a failure.
     pub fn note_refused(&self, backend: &BackendId, now: Instant) {
         let mut records = self.lock();
         let record = records.entry(backend.clone()).or_insert_with(|| Record::new(now));
         record.refusing_until = Some(now + REFUSING_FOR);
     }
 
-    /// Back ends that refused a request a moment ago.
+    /// Back ends that recently refused a request.
     pub fn refusing(&self, now: Instant) -> Vec<BackendId> {
         self.find(|record| record.refusing_until.is_some_and(|until| now < until))
     }
 
-    /// How a back end has fared lately.
+    /// Recent health of a back end.
     pub fn view(&self, backend: &BackendId, now: Instant) -> HealthView {
         let records = self.lock();
         let Some(record) = records.get(backend) else { return HealthView::default() };
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Back ends that could not be reached a moment ago.
+    /// Back ends that recently could not be reached.
     pub fn unreachable(&self, now: Instant) -> Vec<BackendId> {
         self.find(|record| record.unreachable_until.is_some_and(|until| now < until))
     }
@@ -136,7 +138,7 @@
         found.map(|(backend, _)| backend.clone()).collect()
     }
 
-    /// Forgets back ends that are gone.
+    /// Removes back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.lock().retain(|backend, _| is_known(backend));
         self.activity.lock().unwrap_or_else(PoisonError::into_inner).retain(|backend, _| is_known(backend));
--- a/crates/beamwall-gateway/src/lib.rs
+++ b/crates/beamwall-gateway/src/lib.rs
@@ -1,10 +1,11 @@
 //! Forwards opaque calls and event streams from callers to back ends.
 //!
-//! Bytes of a request and its answer pass unchanged; what the gateway reads and sets in their heads
-//! goes through the [`Dialect`] port, so this package knows no header by name. The policy says where
-//! a request may go, the [`Directory`] which back ends there are, [`choice`] picks one, for model
-//! requests at the node that does the [`placement`] for all, and [`forward`] carries a request through its attempts. Limits that hold over all nodes stand in
-//! [`quota`]; what is billed in [`usage`]; how many back ends are wanted in [`scaling`].
+//! The bytes of a request and its response pass unchanged. The gateway reads and sets request and response
+//! heads through the [`Dialect`] port, so this package knows no header by name. The policy defines where a
+//! request may go, and the [`Directory`] lists the back ends. [`choice`] selects one of them; for model
+//! requests the placement node does this for all senders (see [`placement`]). [`forward`] and [`attempts`]
+//! take a request through its attempts. Limits that apply across all nodes are in [`quota`], billed requests
+//! in [`usage`], and the number of back ends to order in [`scaling`].
 
 pub mod admission;
 pub mod attempt;
--- a/crates/beamwall-gateway/src/load.rs
+++ b/crates/beamwall-gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! Open work by back end: this node's own, exactly, and the peers', as they last told it.
+//! Open requests by back end: this node's own, counted exactly, and its peers', as last reported.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,17 +7,17 @@
 
 use crate::reporter::Reporter;
 
-/// Weight of a newly told number of prompt tokens against those told before, in hundredths. A prompt is
-/// read in a fraction of the time between two tellings, so a single number says little of now; their
-/// average says how busy the back end usually is.
+/// Weight of a newly reported number of prompt tokens in the moving average, in percent. A prompt is
+/// prefilled in a fraction of the time between two reports, so a single report says little about the current
+/// load; the average shows how busy the back end usually is.
 const NEWEST_REPORT_PERCENT: u64 = 30;
 
-/// Open work at one back end.
+/// Open requests at one back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenLoad {
-    /// Requests sent and not ended.
+    /// Requests sent and not completed.
     pub requests: u32,
-    /// Prompt tokens that requests which have not begun to answer make it read.
+    /// Prompt tokens to be prefilled for requests without a response so far.
     pub prompt_tokens: u64,
 }
 
@@ -38,10 +38,10 @@
 #[derive(Debug, Default)]
 struct State {
     own: HashMap<BackendId, OpenLoad>,
-    /// Own requests that have begun to answer.
+    /// Own requests that have begun to respond.
     responding: HashMap<BackendId, u32>,
     peers: HashMap<Reporter, HashMap<BackendId, OpenLoad>>,
-    /// Sums over all peers, so that a look-up does not grow with their number.
+    /// Sums over all peers, so that the cost of a lookup does not grow with the number of peers.
     peer_sums: HashMap<BackendId, OpenLoad>,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Open work by back end.
+/// Open requests by back end.
 #[derive(Debug, Default)]
 pub struct LoadTracker {
     state: Mutex<State>,
@@ -69,7 +69,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens one request; it counts until the guard is dropped.
+    /// Opens a request; it is counted until the guard is dropped.
     pub fn open(self: &Arc<Self>, backend: &BackendId, prompt_tokens: u64) -> OpenRequestGuard {
         let mut state = self.lock();
         let load = state.own.entry(backend.clone()).or_default();
@@ -77,17 +77,17 @@
         OpenRequestGuard { book: self.clone(), backend: backend.clone(), prompt_tokens, is_responding: false }
     }
 
-    /// Requests of this node that a back end has begun to answer and not ended.
+    /// Open requests of this node to which a back end has begun to respond.
     pub fn responding_requests(&self, backend: &BackendId) -> u32 {
         self.lock().responding.get(backend).copied().unwrap_or(0)
     }
 
-    /// Back ends that have begun to answer requests of this node and not ended.
+    /// Back ends that have begun to respond to open requests of this node.
     pub fn back_ends_responding(&self) -> Vec<BackendId> {
         self.lock().responding.keys().cloned().collect()
     }
 
-    /// Open work of all nodes at a back end.
+    /// Open requests of all nodes at a back end.
     pub fn total(&self, backend: &BackendId) -> OpenLoad {
         let state = self.lock();
         let mut total = state.own.get(backend).copied().unwrap_or_default();
@@ -95,12 +95,12 @@
         total
     }
 
-    /// This node's open work, to be told to peers.
+    /// This node's open requests, to be reported to peers.
     pub fn own(&self) -> Vec<(BackendId, OpenLoad)> {
         self.lock().own.iter().map(|(backend, load)| (backend.clone(), *load)).collect()
     }
 
-    /// Replaces what a peer told before; its prompt tokens are averaged with those.
+    /// Replaces a peer's previous report; the prompt tokens of both are averaged.
     pub fn set_peer(&self, peer: &Reporter, mut loads: HashMap<BackendId, OpenLoad>) {
         let mut state = self.lock();
         if let Some(before) = state.peers.get(peer) {
@@ -113,12 +113,12 @@
         state.peers.insert(peer.clone(), loads);
     }
 
-    /// Forgets a peer that is not alive.
+    /// Removes a peer that is not alive.
     pub fn remove_peer(&self, peer: &Reporter) {
         self.lock().remove_peer(peer);
     }
 
-    /// Open work of this node and of all nodes that told their own, to be told to other zones.
+    /// Open requests of this node and of all nodes that report their own, to be reported to other zones.
     pub fn sum_of_nodes(&self) -> HashMap<BackendId, OpenLoad> {
         let state = self.lock();
         let mut sum = state.own.clone();
@@ -130,7 +130,7 @@
     }
 }
 
-/// One open request at one back end.
+/// Guard that counts one open request at a back end until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     book: Arc<LoadTracker>,
@@ -140,7 +140,7 @@
 }
 
 impl OpenRequestGuard {
-    /// Notes that the back end has read the prompt and answers.
+    /// Records that the back end has prefilled the prompt and begun to respond.
     pub fn start_response(&mut self) {
         let book = self.book.clone();
         let mut state = book.lock();
@@ -175,7 +175,8 @@
     }
 }
 
-/// Averages newly told prompt tokens with those before. Back ends without any are left out of tellings.
+/// Averages newly reported prompt tokens with the previous ones. Reports omit back ends without open
+/// requests.
 fn average_prompt_tokens(before: &HashMap<BackendId, OpenLoad>, reported: &mut HashMap<BackendId, OpenLoad>) {
     for backend in before.keys() {
         reported.entry(backend.clone()).or_default();
--- a/crates/beamwall-gateway/src/lost_responses.rs
+++ b/crates/beamwall-gateway/src/lost_responses.rs
@@ -1,7 +1,8 @@
-//! Answers that were lost, by back end, until it is known whether the back end ended.
+//! Lost responses by back end, kept until it is known whether the back end terminated.
 //!
-//! A lost answer alone tells little: a faulty back end closes connections and lives, a caller's network may break. What the
-//! back end had open counts against requests only once it is known to have ended.
+//! A lost response alone proves little: a faulty back end may close connections without terminating, and the
+//! caller's network may fail. A back end's open requests are counted as suspects only once it is known to
+//! have terminated.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,25 +12,26 @@
 use beamwall_quarantine::Fingerprint;
 use tokio::time::Instant;
 
-/// Time for which a lost answer is remembered: a machine that falls silent is taken for dead and starts again within it.
+/// Time for which a lost response is kept. A machine that goes silent is detected as dead and restarted
+/// within this time.
 const LOSS_TTL: Duration = Duration::from_secs(10);
-/// Back ends of which lost answers are remembered.
+/// Maximum number of back ends for which lost responses are kept.
 const MAX_BACK_ENDS: usize = 512;
-/// Lost answers that are remembered of one back end.
+/// Maximum number of lost responses kept per back end.
 const MAX_REQUESTS_PER_BACK_END: usize = 256;
 
-/// What is to be done about a lost answer.
+/// Action that a lost response requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// The back end is known to have ended: the request counts.
+    /// The back end is known to have terminated: count the request.
     Count,
-    /// Find out whether the back end lives.
+    /// Probe whether the back end is alive.
     Probe,
-    /// That is being found out.
+    /// A probe is already running.
     Wait,
 }
 
-/// Lost answers by back end.
+/// Lost responses by back end.
 #[derive(Debug, Default)]
 pub struct LostResponses {
     back_ends: Mutex<HashMap<BackendId, BackendLosses>>,
@@ -48,7 +50,7 @@
         self.back_ends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a back end's answer to a request was lost.
+    /// Records that a back end's response to a request was lost.
     pub fn note(&self, backend: &BackendId, request: Fingerprint, now: Instant) -> NextStep {
         let mut back_ends = self.lock();
         back_ends.retain(|_, lost| now.saturating_duration_since(lost.last) < LOSS_TTL);
@@ -71,20 +73,20 @@
         if std::mem::replace(&mut lost.is_probed, true) { NextStep::Wait } else { NextStep::Probe }
     }
 
-    /// Whether it is being found out whether a back end lives.
+    /// Whether a back end is currently probed.
     pub fn is_probed(&self, backend: &BackendId) -> bool {
         self.lock().get(backend).is_some_and(|lost| lost.is_probed)
     }
 
-    /// Notes that the back end was found alive, or that this could not be found out.
+    /// Records that a probe found the back end alive or was inconclusive.
     pub fn end_probe(&self, backend: &BackendId) {
         if let Some(lost) = self.lock().get_mut(backend) {
             lost.is_probed = false;
         }
     }
 
-    /// Notes that a back end has ended; gives the requests of which it had the answers open. Nothing is noted of one that
-    /// lost none.
+    /// Records that a back end terminated; returns the requests whose responses were lost there. Nothing is
+    /// recorded for a back end without lost responses.
     pub fn end(&self, backend: &BackendId) -> Vec<Fingerprint> {
         let mut back_ends = self.lock();
         let Some(lost) = back_ends.get_mut(backend) else { return Vec::new() };
--- a/crates/beamwall-gateway/src/metrics.rs
+++ b/crates/beamwall-gateway/src/metrics.rs
@@ -10,15 +10,16 @@
 pub struct GatewayMetrics {
     /// Requests by kind of route, tenant and status.
     pub requests: IntCounterVec,
-    /// Time to the answer (of streams: the first event) by kind of route and tenant, in seconds.
+    /// Time to the response (for streams: to the first event) by kind of route and tenant, in seconds.
     pub latency: HistogramVec,
     /// Streams continued at another engine.
     pub streams_continued: IntCounter,
-    /// Streams that broke off.
+    /// Streams that ended before they were complete.
     pub streams_broken: IntCounter,
-    /// Requests whose back end was silent for too long: left for another one, or kept for want of what the label tells.
+    /// Requests whose back end was silent for too long. The label tells whether the request moved to another
+    /// back end or what prevented that.
     pub silent_back_ends: IntCounterVec,
-    /// Connections to callers that ended by an error, by its kind.
+    /// Failed connections to callers by kind of failure.
     pub caller_connections_failed: IntCounterVec,
 }
 
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -1,10 +1,11 @@
-//! Placement: one node chooses the engines of model requests for all nodes, in each group of engines another.
+//! Placement: one node chooses the engines of model requests for all nodes, with a different node for each
+//! group of engines.
 //!
-//! An engine reads a prompt in a fraction of a second, while nodes tell each other their open work about
-//! once a second. Nodes that each choose by what they were told send long prompts to the same engine while
-//! others are idle. The node that places the requests of all knows what it placed a moment ago.
+//! An engine prefills a prompt in a fraction of a second, while nodes report their open requests about once a
+//! second. Nodes that choose independently by these reports send long prompts to the same engine while others
+//! are idle. The placement node knows what it placed a moment ago.
 //!
-//! A placement is advice: a node that gets none in time chooses by itself, from what it was told.
+//! A placement is advice: a node that receives none in time chooses by itself, based on its peers' reports.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -18,45 +19,49 @@
 use crate::placement_groups::EngineGroup;
 use crate::ports::Prompt;
 
-/// Nodes that must have failed to reach an engine before it is avoided for all. One alone may be cut off itself.
+/// Number of nodes that must have failed to reach an engine before all nodes avoid it. A single node may
+/// itself be disconnected.
 const CONFIRMING_NODES: usize = 2;
-/// Time for which a report of an unreachable engine counts.
+/// Time for which a report of an unreachable engine is valid.
 const REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// Times the expected time from which an answer counts as slow: of the usual ones some in 100 take twice as long.
+/// Multiple of the expected time above which a response is slow. A few in 100 normal responses take twice the
+/// expected time.
 const SLOW_FACTOR: f64 = 2.5;
-/// Milliseconds beside: of short answers the way and the wait for a processor are a larger part.
+/// Time added to that limit in milliseconds, since network delay and scheduling are a larger part of short
+/// responses.
 const SLOW_MARGIN_MS: f64 = 20.0;
 
-/// What a request needs of an engine.
+/// A request for a placement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementQuery {
-    /// The node that sends the request.
+    /// The node that sends the model request.
     pub sender: NodeId,
     /// The service.
     pub service: ServiceName,
-    /// The zone of the node that sends the request.
+    /// The zone of the sender.
     pub zone: ZoneName,
-    /// The engines among which one is chosen.
+    /// The group of engines to choose from.
     pub group: EngineGroup,
     /// The prompt.
     pub prompt: Prompt,
-    /// Engines that it was sent to before.
+    /// Engines that were already tried.
     pub tried: Vec<BackendId>,
-    /// Engines that the sender could not reach a moment ago.
+    /// Engines that the sender recently could not reach.
     pub unreachable: Vec<BackendId>,
-    /// What the sender observed lately of single engines of the group, and has not reported yet.
+    /// Slowness of single engines of the group that the sender observed and has not reported yet.
     pub observed: Vec<(BackendId, ToldSlowness)>,
-    /// Longest pause between two events that keeps its stream in time.
+    /// Longest gap between two events at which the stream meets its objective.
     pub pause_objective_ms: Option<u64>,
-    /// Time that its caller still waits.
+    /// Time left until the caller's deadline.
     pub remaining: Duration,
-    /// Expected time to begin, in milliseconds, beyond which another group will be asked: then nothing is placed here.
+    /// Expected time to the response, in milliseconds, above which the sender will query another group.
+    /// Nothing is placed here then.
     pub enough_ms: Option<f64>,
 }
 
 impl PlacementQuery {
-    /// Whether a choice is good enough to be placed without asking another group.
+    /// Whether a choice is good enough to be placed without querying another group.
     pub fn is_good_enough(&self, choice: &Choice) -> bool {
         match (self.enough_ms, choice.expected_ms) {
             (Some(enough_ms), Some(expected_ms)) => expected_ms <= enough_ms,
@@ -65,81 +70,83 @@
     }
 }
 
-/// The back end of an attempt, and what decided.
+/// The back end of an attempt and the inputs of the decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The back end.
     pub backend: BackendId,
-    /// Cost by which it was chosen, in milliseconds.
+    /// Cost of the chosen candidate in milliseconds.
     pub cost_ms: f64,
-    /// Expected time until it begins to answer, in milliseconds; `None` while nothing is known of the service.
+    /// Expected time until it starts its response, in milliseconds; `None` while the service's model is not
+    /// trained.
     pub expected_ms: Option<f64>,
-    /// Factor by which it takes longer than its service usually does, which is in the expected time.
+    /// Factor by which it is slower than its service usually is; already included in the expected time.
     pub slowness: f64,
-    /// What of the prompt it reads.
+    /// Prefill work of the prompt.
     pub reading: Reading,
-    /// Tokens of other prompts that it reads before.
+    /// Tokens of other prompts that it prefills first.
     pub tokens_ahead: u64,
-    /// Requests open there.
+    /// Open requests at the back end.
     pub open_requests: u32,
-    /// Share of its requests that failed lately, 0 to 1.
+    /// Share of its recent requests that failed, 0 to 1.
     pub failure_share: f64,
-    /// Back ends that were compared.
+    /// Number of candidates compared.
     pub candidates: usize,
-    /// The node that chose.
+    /// The node that made the choice.
     pub chosen_by: NodeId,
 }
 
 impl Choice {
-    /// Time that an engine of its service usually takes: the expected time follows what this one did, so a version all of whose
-    /// engines are slow would seem to be as fast as is expected of it.
+    /// Time that engines of the service usually take. The expected time follows this engine's own slowness,
+    /// so a version whose engines are all slow would otherwise appear to be as fast as expected.
     fn usual_ms(&self) -> Option<f64> {
         Some(self.expected_ms? / self.slowness)
     }
 
-    /// Whether an answer that began after `took_ms` took several times as long as is usual in its service.
+    /// Whether a response that started after `took_ms` took several times as long as is usual for its
+    /// service.
     pub fn is_slow(&self, took_ms: f64) -> bool {
         self.usual_ms().is_some_and(|usual_ms| took_ms > usual_ms * SLOW_FACTOR + SLOW_MARGIN_MS)
     }
 
-    /// What the time to the first event of a model request depends on there.
+    /// Inputs of the model for the time to the first event at this back end.
     pub fn first_event(&self) -> FirstEvent {
         FirstEvent { reading: self.reading, tokens_ahead: self.tokens_ahead, running: self.open_requests }
     }
 }
 
-/// What came of asking for a placement.
+/// Result of a placement query.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementOutcome {
     /// An engine was chosen.
     Chosen(Choice),
-    /// This node places requests itself.
+    /// This node is the placement node of the group.
     PlaceLocally,
-    /// No answer came in time, or no engine was found.
+    /// There was no response in time, or no engine was available.
     Unanswered,
 }
 
-/// Asks the node that places requests.
+/// Queries placement nodes.
 #[async_trait]
 pub trait PlacementPort: Send + Sync + 'static {
-    /// Asks for an engine.
+    /// Queries the placement node of the query's group for an engine.
     async fn place(&self, question: &PlacementQuery) -> PlacementOutcome;
 }
 
-/// Time within which nodes tell the requests that were placed for them, in the mean. Until then only the node that
-/// placed them knows.
+/// Mean time until a node has reported the requests placed for it. Until then only the placement node knows
+/// of them.
 const REPORT_DELAY: Duration = Duration::from_millis(600);
 
-/// What this node placed at one engine.
+/// Prompts that this node placed at one engine.
 #[derive(Debug, Clone)]
 struct PrefillQueue {
-    /// When it will have read the prompts, one after another.
+    /// Time at which all these prompts will be prefilled, one after another.
     end: Instant,
-    /// When the last ones were placed.
+    /// Times of the most recent placements.
     placed: VecDeque<Instant>,
 }
 
-/// What this node placed at each engine.
+/// Prompts that this node placed, by engine.
 #[derive(Debug, Default)]
 pub struct PrefillQueues {
     queues: Mutex<HashMap<BackendId, PrefillQueue>>,
@@ -150,20 +157,20 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests placed at an engine of which the nodes that send them have not told yet.
+    /// Requests placed at an engine that their senders have not reported yet.
     pub fn unreported_requests(&self, backend: &BackendId, now: Instant) -> u32 {
         let queues = self.lock();
         let is_unreported = |placed: &&Instant| now.saturating_duration_since(**placed) < REPORT_DELAY;
         queues.get(backend).map_or(0, |queue| queue.placed.iter().filter(is_unreported).count() as u32)
     }
 
-    /// Time for which an engine still reads, in milliseconds.
+    /// Time for which an engine is still busy with prefill, in milliseconds.
     pub fn prefill_left_ms(&self, backend: &BackendId, now: Instant) -> f64 {
         let end = self.lock().get(backend).map_or(now, |queue| queue.end);
         end.saturating_duration_since(now).as_secs_f64() * 1_000.0
     }
 
-    /// Notes a prompt that was placed and takes `reading_ms` to read.
+    /// Records a placed prompt that takes `prefill_ms` to prefill.
     pub fn add(&self, backend: &BackendId, prefill_ms: f64, now: Instant) {
         let reading = Duration::from_secs_f64(prefill_ms.max(0.0) / 1_000.0);
         let mut queues = self.lock();
@@ -174,14 +181,14 @@
         queue.placed.push_back(now);
     }
 
-    /// Forgets back ends that are gone.
+    /// Removes back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.lock().retain(|backend, _| is_known(backend));
     }
 }
 
-/// Engines that nodes could not reach. A crashed engine has nothing to read, so it would be chosen first for
-/// every node until each had found out by itself.
+/// Engines that nodes could not reach. A crashed engine has an empty queue, so it would be the first choice
+/// for every node until each node had discovered the crash by itself.
 #[derive(Debug, Default)]
 pub struct UnreachableReports {
     reports: Mutex<HashMap<BackendId, HashMap<NodeId, Instant>>>,
@@ -192,7 +199,7 @@
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what a node could not reach.
+    /// Records the engines that a node could not reach.
     pub fn note(&self, sender: &NodeId, unreachable: &[BackendId], now: Instant) {
         let mut reports = self.lock();
         for backend in unreachable {
@@ -200,7 +207,7 @@
         }
     }
 
-    /// Whether several nodes could not reach an engine a moment ago.
+    /// Whether several nodes recently could not reach an engine.
     pub fn is_confirmed(&self, backend: &BackendId, now: Instant) -> bool {
         let reports = self.lock();
         let Some(senders) = reports.get(backend) else { return false };
@@ -208,7 +215,7 @@
         senders.values().filter(is_recent).count() >= CONFIRMING_NODES
     }
 
-    /// Forgets back ends that are gone.
+    /// Removes back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.lock().retain(|backend, _| is_known(backend));
     }
--- a/crates/beamwall-gateway/src/placement_groups.rs
+++ b/crates/beamwall-gateway/src/placement_groups.rs
@@ -1,12 +1,14 @@
-//! Groups of engines, each placed by one node.
+//! Groups of engines, each with its own placement node.
 //!
-//! One node can place only so many requests, and where several place at the same engines, each is blind to what the others
-//! placed a moment ago. So the engines of a service are divided into groups by hash, each group has a node of its own,
-//! and that node places alone there. A prompt goes to the group that the hash of its last shared part prefers, so its
-//! beginning is kept in one group and read there once; where that group can't begin soon, the next one is asked.
+//! A single node can place only a limited number of requests, and if several nodes place at the same engines,
+//! none of them sees what the others placed a moment ago. The engines of a service are therefore divided into
+//! groups by hash. Each group has its own placement node, which is the only one to place there. A prompt goes
+//! to the group preferred by the hash of its last shared part, so that its prefix is cached in one group and
+//! prefilled there once. If that group can't start the request soon, the next group is queried.
 //!
-//! The load that this answers: 160 engines that read prompts 45 in 100 of their time. Five nodes that each place at all of
-//! them leave 10 in 100 prompts waiting 292 ms and more, three groups none (tests/placement_groups.rs).
+//! Example load: 160 engines that spend 45 % of their time on prefill. With five nodes that each place at all
+//! engines, 10 % of the prompts wait 292 ms or longer; with three groups, none does
+//! (tests/placement_groups.rs).
 
 use std::sync::Arc;
 
@@ -16,22 +18,22 @@
 use crate::directory::Backend;
 use crate::ports::Prompt;
 
-/// Engines of a group in the mean. A placement compares all of them, so this bounds the time that it takes; with fewer, a
-/// request finds fewer engines that are free.
+/// Mean number of engines per group. A placement compares all engines of its group, so this bounds the time
+/// of a placement; in a smaller group, fewer engines are free at any time.
 const ENGINES_PER_GROUP: usize = 64;
-/// Multiplier of the generator behind the jump consistent hash, from its paper.
+/// Multiplier of the linear congruential generator in the jump consistent hash, from its paper.
 const JUMP_MULTIPLIER: u64 = 2_862_933_555_777_941_757;
-/// Bits of a generated number that are dropped, from the paper.
+/// Number of low bits dropped from a generated number, from the paper.
 const JUMP_SHIFT: u32 = 33;
-/// Range of the bits that stay, from the paper.
+/// Range of the remaining bits, from the paper.
 const JUMP_RANGE: f64 = (1_u64 << 31) as f64;
 
 /// One of the groups of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct EngineGroup {
-    /// Its number, from 0.
+    /// Index of the group, from 0.
     pub number: u32,
-    /// The number of groups, at least 1.
+    /// Number of groups, at least 1.
     pub count: u32,
 }
 
@@ -39,14 +41,16 @@
     /// The group of all engines.
     pub const WHOLE: Self = Self { number: 0, count: 1 };
 
-    /// Whether an engine belongs to it. All nodes agree; when the number of groups changes by one, few engines move.
+    /// Whether an engine belongs to the group. All nodes compute the same result, and few engines move when
+    /// the number of groups changes by one.
     pub fn holds(self, backend: &BackendId) -> bool {
         self.count <= 1 || group_of(backend, self.count) == self.number
     }
 }
 
-/// The group of an engine among `count`, by jump consistent hash (Lamping and Veach, 2014): some steps by the logarithm of
-/// the groups, where comparing a hash for each of them took 3.5 ms a division at 3,000 engines.
+/// The group of an engine among `count` groups, by jump consistent hash (Lamping and Veach, 2014). The number
+/// of steps is logarithmic in the number of groups; rendezvous hashing, which compares a hash for each group,
+/// took 3.5 ms to divide 3,000 engines.
 fn group_of(backend: &BackendId, count: u32) -> u32 {
     let mut hash = xxh3_64(backend.as_str().as_bytes());
     let mut group = 0;
@@ -59,8 +63,8 @@
     group
 }
 
-/// One service's engines that take requests, by group. Made once for each list of back ends, so that a request finds the
-/// engines of its group without looking at the others.
+/// One service's engines that accept requests, by group. Built once per version of the list of back ends, so
+/// that a request finds its group's engines without scanning all engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineGroups {
     groups: Vec<Vec<Arc<Backend>>>,
@@ -94,8 +98,8 @@
         self.groups.iter().flatten()
     }
 
-    /// The engines of one group. A group of another division, as one of a node that sees other engines, is looked for among
-    /// all.
+    /// The engines of one group. For a group of another division, as used by a node that knows a different
+    /// set of engines, all engines are scanned.
     pub fn engines_of(&self, group: EngineGroup) -> Box<dyn Iterator<Item = &Arc<Backend>> + '_> {
         match self.groups.get(group.number as usize) {
             Some(engines) if group.count as usize == self.groups.len() => Box::new(engines.iter()),
@@ -103,9 +107,9 @@
         }
     }
 
-    /// The groups in the order in which they are asked for a prompt. Each is first for a share of the prompts in
-    /// proportion to its engines; prompts with the same shared part have the same order. `random` decides for prompts that
-    /// share nothing.
+    /// The groups in the order in which they are queried for a prompt. Each group is first for a share of the
+    /// prompts proportional to its number of engines. Prompts with the same shared prefix have the same
+    /// order; `random` determines the order for prompts without one.
     pub fn in_order(&self, prompt: &Prompt, random: u64) -> Vec<EngineGroup> {
         let count = self.groups.len() as u32;
         let key = shared_prefix_key(prompt).unwrap_or(random).to_be_bytes();
@@ -121,7 +125,7 @@
     }
 }
 
-/// What prompts with the same beginning have in common: the last part but the request's own.
+/// Key of the shared prefix: the identifier of the last part before the request's own.
 fn shared_prefix_key(prompt: &Prompt) -> Option<u64> {
     let position = prompt.parts.len().checked_sub(2)?;
     Some(prompt.parts[position].id)
--- a/crates/beamwall-gateway/src/prefix_cache.rs
+++ b/crates/beamwall-gateway/src/prefix_cache.rs
@@ -1,7 +1,8 @@
-//! Where prompt parts are believed kept, from this node's own dispatches.
+//! Estimates which back ends cache which prompt parts, from this node's own requests.
 //!
-//! The node that places requests for all notes all of them. A node that chooses for itself knows only its own;
-//! all use the same rendezvous hash, so the first engine of that hash is believed to keep a shared part, too.
+//! The placement node records the requests that it places for all nodes. A node that chooses by itself knows
+//! only its own requests. All nodes use the same rendezvous hash, so the first engine of that hash is also
+//! assumed to cache a shared part.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,9 +13,9 @@
 
 use crate::ports::{Prompt, PromptPart};
 
-/// Time after its last use for which a part is believed kept.
+/// Time after its last use for which a part is assumed to be cached.
 const CACHED_PART_TTL: Duration = Duration::from_secs(30);
-/// Parts remembered in all; when there are more, the ones unused longest are dropped.
+/// Maximum number of parts tracked; above it, the least recently used ones are evicted.
 const MAX_PARTS: usize = 16_384;
 
 #[derive(Debug, Default)]
@@ -22,7 +23,7 @@
     parts: HashMap<u64, HashMap<BackendId, Instant>>,
 }
 
-/// Where prompt parts are believed kept.
+/// Estimates which back ends cache which prompt parts.
 #[derive(Debug, Default)]
 pub struct PrefixCacheIndex {
     state: Mutex<State>,
@@ -33,8 +34,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tokens of a prompt that a back end is believed to keep: of the parts in order, those up to
-    /// the first that it lacks.
+    /// Estimated number of prompt tokens cached by a back end: the parts in order, up to the first one that
+    /// it does not cache.
     pub fn estimated_cached_tokens(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> u64 {
         let state = self.lock();
         let is_cached = |part: &&PromptPart| {
@@ -44,7 +45,7 @@
         prompt.parts.iter().take_while(is_cached).map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Whether a back end is believed to keep the last shared part of a prompt.
+    /// Whether a back end is assumed to cache the last shared part of a prompt.
     pub fn caches_shared_part(&self, backend: &BackendId, prompt: &Prompt, now: Instant) -> bool {
         let Some(position) = prompt.parts.len().checked_sub(2) else { return false };
         let state = self.lock();
@@ -52,7 +53,7 @@
         used.is_some_and(|used| now.saturating_duration_since(*used) < CACHED_PART_TTL)
     }
 
-    /// Notes that a back end has read a prompt.
+    /// Records that a back end has prefilled a prompt.
     pub fn note_prefill(&self, backend: &BackendId, prompt: &Prompt, now: Instant) {
         let mut state = self.lock();
         for part in &prompt.parts {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Forgets back ends that are gone.
+    /// Removes back ends that are gone.
     pub fn retain(&self, is_known: impl Fn(&BackendId) -> bool) {
         let mut state = self.lock();
         for back_ends in state.parts.values_mut() {
@@ -81,13 +82,14 @@
     state.parts.retain(|_, back_ends| newest(back_ends).is_some_and(|used| used > median));
 }
 
-/// Shared tokens of a prompt: all parts but the last, which is the request's own.
+/// Number of tokens in the shared parts of a prompt: all parts but the last, which belongs to this request
+/// alone.
 pub fn shared_tokens(prompt: &Prompt) -> u64 {
     let shared = prompt.parts.len().saturating_sub(1);
     prompt.parts[..shared].iter().map(|part| u64::from(part.tokens)).sum()
 }
 
-/// The back end that all nodes prefer for a prompt: by rendezvous hash of its last shared part.
+/// The back end that all nodes prefer for a prompt, by rendezvous hash of its last shared part.
 pub fn preferred_back_end<'a>(
     prompt: &Prompt,
     backends: impl IntoIterator<Item = &'a BackendId>,
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Acts on requests under which back ends end: finds out whether a back end ended whose answer was lost, and lets requests
-//! pass or holds them by the [`QuarantineBook`].
+//! Handles requests suspected of terminating back ends: probes whether a back end whose response was lost has
+//! terminated, and admits or holds requests according to the [`QuarantineBook`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,38 +20,38 @@
 use crate::fleet_clock::FleetClock;
 use crate::lost_responses::{LostResponses, NextStep};
 
-/// Pauses before each look at whether a back end that lost an answer still takes connections. A process that ends may close
-/// its listener some milliseconds after its connections.
+/// Delays before each probe of whether a back end with a lost response still accepts connections. A
+/// terminating process may close its listener some milliseconds after its connections.
 const PROBE_DELAYS: [Duration; 3] =
     [Duration::from_millis(5), Duration::from_millis(50), Duration::from_millis(200)];
-/// Time between two looks whether it is known that a back end ended.
+/// Interval at which a waiting request checks whether the probe has ended.
 const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Least time between two questions of this node for trials: each costs two calls to the store.
+/// Minimum interval between two requests of this node for trials, each of which costs two calls to the store.
 const MIN_TRIAL_INTERVAL: Duration = Duration::from_millis(250);
-/// When a request may come back whose trial could not be granted now.
+/// `retry_after` of a request whose trial could not be granted at present.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Grants trials of held requests.
 #[async_trait]
 pub trait TrialPort: Send + Sync + 'static {
-    /// Takes the right to the trial of this number of a request. Of all nodes and lives of nodes one gets it.
+    /// Claims the trial with this number for a request. At most one process of all nodes succeeds.
     async fn claim_trial(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool;
 }
 
-/// A back end, as far as its end concerns requests.
+/// The properties of a back end that are needed to attribute its termination to requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// Which one.
+    /// Identifier of the back end's generation.
     pub id: BackendId,
-    /// Where it takes connections.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
-    /// Whether it has announced that it leaves.
+    /// Whether it has announced that it is leaving.
     pub is_leaving: bool,
 }
 
-/// The back ends that a node knows.
+/// Looks up the back ends that a node knows.
 pub trait BackendLookup: Send + Sync + 'static {
-    /// One of them; `None` where it is not listed any more.
+    /// Returns a back end; `None` if it is not listed.
     fn find(&self, backend: &BackendId) -> Option<ListedBackend>;
 }
 
@@ -63,23 +63,23 @@
     }
 }
 
-/// What one node does about requests under which back ends end.
+/// Quarantine of one node: holds requests suspected of terminating back ends.
 pub struct Quarantine {
-    /// What is known of them.
+    /// Suspects and held requests.
     pub book: Arc<QuarantineBook>,
-    /// Told when peers should hear what this node saw.
+    /// Notified when this node has evidence that its peers should receive.
     pub peer_notify: Notify,
     lost_responses: LostResponses,
     pool: Pool,
     backends: Arc<dyn BackendLookup>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
-    /// When this node may ask for a trial.
+    /// Limits how often this node requests a trial.
     trial_throttle: Throttle,
 }
 
 impl Quarantine {
-    /// What is done at one node.
+    /// Creates the quarantine of one node.
     pub fn new(
         book: Arc<QuarantineBook>,
         pool: Pool,
@@ -92,14 +92,14 @@
         Self { book, peer_notify, lost_responses, pool, backends, clock, trials, trial_throttle }
     }
 
-    /// The time by which evidence is told.
+    /// The time used in evidence, in milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Whether a request may be sent.
+    /// Decides whether a request may be sent.
     pub async fn admit(&self, request: &Fingerprint) -> Result<Admission, HeldRequest> {
-        // Nearly all requests pass here, without working out the agreed time of day: that takes longer than all the rest.
+        // Fast path for almost all requests: computing the fleet time takes longer than everything else here.
         if !self.is_held(request) {
             return Ok(Admission::Usual);
         }
@@ -128,21 +128,23 @@
         true
     }
 
-    /// Whether a request is held now, so that it is not sent once more.
+    /// Whether a request is held now, so that it must not be sent again.
     pub fn is_held(&self, request: &Fingerprint) -> bool {
         self.book.is_held(request)
     }
 
-    /// Notes that a back end answered a request whole, and so lives.
+    /// Records that a back end completed a request and is therefore alive.
     pub fn note_completed(&self, request: &Fingerprint) {
         if self.book.is_accused(request) && self.book.note_completion(request, self.now_ms()) {
             self.publish_changes();
         }
     }
 
-    /// Notes that the answer of a back end to a request was lost: its connection ended, or it fell silent.
+    /// Records that the response of a back end to a request was lost because the connection closed or went
+    /// silent.
     pub fn note_lost(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
-        // One that has announced that it leaves, or is not listed any more, ends on its own account.
+        // A back end that has announced that it is leaving, or is no longer listed, terminates for reasons of
+        // its own.
         let Some(listed) = self.backends.find(backend).filter(|listed| !listed.is_leaving) else { return };
         match self.lost_responses.note(backend, request, Instant::now()) {
             NextStep::Count => self.record_termination(backend, vec![request]),
@@ -153,8 +155,9 @@
         }
     }
 
-    /// The same. Of a request against which the end of a back end tells already, it is waited until it is known whether this one
-    /// ended too: else the next back end gets it meanwhile.
+    /// Records a lost response like [`Self::note_lost`]. If the request is already suspected of a
+    /// termination, also waits until the probe of this back end has ended; otherwise the next back end would
+    /// be sent the request in the meantime.
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
         let is_accused = self.book.is_accused(&request);
         self.note_lost(request, backend);
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Finds out whether a back end that lost an answer has ended: then it refuses connections.
+    /// Probes whether a back end with a lost response has terminated, in which case it refuses connections.
     async fn probe(self: Arc<Self>, backend: ListedBackend) {
         for pause in PROBE_DELAYS {
             tokio::time::sleep(pause).await;
@@ -175,10 +178,11 @@
         self.lost_responses.end_probe(&backend.id);
     }
 
-    /// Notes that a back end has ended: it refuses connections, or lives again under its name.
+    /// Records that a back end terminated: it refuses connections, or a newer generation is listed under its
+    /// name.
     pub fn note_ended(&self, backend: &BackendId) {
         let open = self.lost_responses.end(backend);
-        // One that has announced meanwhile that it leaves ends on its own account.
+        // A back end that has announced in the meantime that it is leaving terminates for reasons of its own.
         if self.backends.find(backend).is_some_and(|listed| listed.is_leaving) {
             return;
         }
@@ -189,16 +193,16 @@
         }
     }
 
-    /// Notes the back ends of an earlier list that live again under their names in a later one.
+    /// Records back ends of an earlier list that restarted under the same name in a later list.
     pub fn detect_restarts(&self, before: &Directory, after: &Directory) {
-        // One that has announced that it leaves ends on its own account.
+        // A back end that has announced that it is leaving terminates for reasons of its own.
         let ended = before.backends().filter(|known| !known.draining && after.has_newer_generation(known));
         for backend in ended {
             self.note_ended(&backend.id);
         }
     }
 
-    /// Waits until this node has seen something that the others have not been told, and gives it.
+    /// Waits until this node has evidence that was not sent to its peers, and returns it.
     pub async fn next_unpublished(&self) -> Evidence {
         loop {
             self.peer_notify.notified().await;
@@ -209,14 +213,14 @@
         }
     }
 
-    /// Takes what others tell; gives what of it was new here.
+    /// Merges evidence received from peers; returns the part that was new to this node.
     pub fn merge_evidence(&self, evidence: Evidence) -> Evidence {
         let new = self.book.hear(evidence, self.now_ms());
         self.log_changes();
         new
     }
 
-    /// Forgets what is old.
+    /// Removes expired evidence.
     pub fn forget_old(&self) {
         self.book.forget_old(self.now_ms());
         self.log_changes();
@@ -234,7 +238,7 @@
         self.peer_notify.notify_one();
     }
 
-    /// Logs which requests are held from now on, and which no longer.
+    /// Logs which requests became held and which were released.
     pub fn log_changes(&self) {
         let changes = self.book.take_changes();
         for (request, held) in changes.held {
--- a/crates/beamwall-gateway/src/reporter.rs
+++ b/crates/beamwall-gateway/src/reporter.rs
@@ -1,15 +1,15 @@
-//! Who told a figure that this node did not measure itself.
+//! The source of a figure that this node did not measure itself.
 
 use beamwall_model::{NodeId, ZoneName};
 
-/// The origin of a told figure. A small deployment's nodes all tell each other; in a large one the nodes
-/// of a zone do, and other zones are known by their sums.
+/// Source of a reported figure. In a small deployment all nodes report to each other. In a large one the
+/// nodes of a zone do, and other zones are known by their sums.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Reporter {
-    /// A node, of its own work.
+    /// A node, reporting its own work.
     Node(NodeId),
-    /// A relay, of the work of all nodes of its zone.
+    /// A relay, reporting the work of all nodes of its zone.
     Zone(ZoneName),
-    /// The store, of what was observed before this node started.
+    /// The store, with observations from before this node started.
     Store,
 }
--- a/crates/beamwall-gateway/src/retries.rs
+++ b/crates/beamwall-gateway/src/retries.rs
@@ -1,9 +1,9 @@
 //! Retry budgets by service.
 //!
-//! What all nodes together may retry in a window is a share of the callers' requests and some extra. A node
-//! spends a share of its own requests and its part of the extra, so it need not ask the others. What one
-//! window leaves is saved up to a share of that window's requests: failures come in bursts, since an engine
-//! that goes breaks all that it runs.
+//! The retries of all nodes in a window are limited to a share of the callers' requests plus a fixed number
+//! of extra retries. Each node spends the share of its own requests and its part of the extra retries, so no
+//! coordination is needed. Unused retries of a window are saved, up to a share of that window's requests,
+//! because failures come in bursts: an engine that terminates interrupts all requests that it runs.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,19 +13,19 @@
 use beamwall_routing::RetryBudget;
 use tokio::time::Instant;
 
-/// Parts in which the requests of a window are counted.
+/// Number of buckets per window in which requests are counted.
 const WINDOW_BUCKETS: u32 = 10;
 
-/// What all nodes together may retry.
+/// Limits on the retries of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryAllowance {
-    /// Retries earned by each request, in hundredths.
+    /// Retries earned by each request, in percent.
     pub earned_percent: u32,
-    /// Retries that may be saved, for each request of the last window, in hundredths.
+    /// Retries that may be saved per request of the last window, in percent.
     pub saved_percent: u32,
-    /// Retries beside, over all nodes.
+    /// Additional retries, over all nodes.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl RetryBudgets {
-    /// Budgets of one of `nodes` nodes.
+    /// Budgets of a node in a fleet of `nodes` nodes.
     pub fn new(allowance: RetryAllowance, nodes: usize) -> Self {
         let state = State { nodes: nodes.max(1), services: HashMap::new() };
         Self { allowance, state: Mutex::new(state) }
@@ -67,12 +67,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Divides the extra retries among this many nodes.
+    /// Divides the extra retries among `nodes` nodes.
     pub fn divide_among(&self, nodes: usize) {
         self.lock().nodes = nodes.max(1);
     }
 
-    /// Notes a caller's request.
+    /// Records a caller's request, which earns a fraction of a retry.
     pub fn earn(&self, service: &ServiceName, now: Instant) {
         self.with_service(service, now, |retries| {
             retries.recent.note(now, self.allowance.window);
@@ -80,12 +80,12 @@
         });
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; returns whether one was available.
     pub fn take(&self, service: &ServiceName, now: Instant) -> bool {
         self.with_service(service, now, |retries| retries.budget.take())
     }
 
-    /// Takes one retry, if there is one, which goes back unless it is spent.
+    /// Reserves one retry, if available. It is returned to the budget unless it is spent.
     pub fn reserve<'a>(&'a self, service: &'a ServiceName, now: Instant) -> Option<ReservedRetry<'a>> {
         self.take(service, now).then_some(ReservedRetry { budgets: self, service, is_spent: false })
     }
@@ -112,14 +112,14 @@
         act(retries)
     }
 
-    /// Retries that may be taken now, by service.
+    /// Retries available now, by service.
     pub fn left(&self) -> Vec<(ServiceName, f64)> {
         let state = self.lock();
         state.services.iter().map(|(service, retries)| (service.clone(), retries.budget.left())).collect()
     }
 }
 
-/// A retry that was taken and has not been used yet. Dropped unspent, it goes back.
+/// A reserved retry. If dropped unspent, it is returned to the budget.
 #[derive(Debug)]
 pub struct ReservedRetry<'a> {
     budgets: &'a RetryBudgets,
@@ -128,7 +128,7 @@
 }
 
 impl ReservedRetry<'_> {
-    /// Notes that the request is sent once more.
+    /// Spends the retry; called when the request is sent again.
     pub fn spend(mut self) {
         self.is_spent = true;
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Requests counted in parts of a window: when each part began, and its requests.
+/// Requests counted in buckets of a window: the start of each bucket and its number of requests.
 #[derive(Debug, Default)]
 struct RecentRequests {
     buckets: VecDeque<(Instant, u32)>,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Requests of the last window.
+    /// Number of requests in the last window.
     fn count(&mut self, now: Instant, window: Duration) -> u32 {
         while self.buckets.front().is_some_and(|(begun, _)| now.saturating_duration_since(*begun) > window) {
             self.buckets.pop_front();
--- a/crates/beamwall-gateway/src/scaling.rs
+++ b/crates/beamwall-gateway/src/scaling.rs
@@ -1,8 +1,9 @@
-//! How many back ends each zone shall hold: one function from inputs to a plan.
+//! Plans how many back ends each zone should have, as a function from inputs to capacity orders.
 //!
-//! Reclaimable back ends cost a part of lasting ones, but a whole zone of them may go at short notice
-//! and for a while none can be had. So one lasting back end is kept in all, which serves on whatever is taken
-//! away, and the rest is reclaimable; what is wanted and can't be had as reclaimable is ordered as lasting.
+//! Reclaimable back ends cost a fraction of the price of on-demand ones, but all of a zone's may be reclaimed
+//! at short notice, and for a while no new ones may be available. One on-demand back end is therefore kept
+//! over all zones, which continues to serve whatever is reclaimed, and the rest are reclaimable. Reclaimable
+//! back ends that are needed but not available are replaced by on-demand ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,40 +16,40 @@
 use crate::ports::CapacityOrder;
 use crate::sizing::Needed;
 
-/// The state of one zone.
+/// The current supply of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneSupply {
     /// The zone.
     pub zone: ZoneName,
-    /// Lasting back ends that take requests.
+    /// On-demand back ends that accept requests.
     pub on_demand_usable: u32,
-    /// Reclaimable back ends that take requests.
+    /// Reclaimable back ends that accept requests.
     pub reclaimable_usable: u32,
-    /// Lasting back ends that are ordered.
+    /// On-demand back ends that are ordered.
     pub on_demand_ordered: u32,
-    /// Whether the last order of reclaimable ones was refused.
+    /// Whether the last order of reclaimable back ends was refused.
     pub is_exhausted: bool,
 }
 
-/// What a plan starts from.
+/// Inputs of a plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingInputs<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Its limits.
+    /// The service's scaling limits.
     pub limits: &'a ScalingLimits,
-    /// The zones that may hold back ends.
+    /// The zones in which back ends may be ordered.
     pub zones: &'a [ZoneSupply],
-    /// Back ends that the work needs which callers ask for at all nodes.
+    /// Number of back ends needed for the demand at all nodes.
     pub needed: Needed,
-    /// Back ends in all zones that are kept whatever the work: while it is not known yet.
+    /// Minimum number of back ends over all zones regardless of demand, used while the demand is not known.
     pub floor: u32,
 }
 
-/// Reclaimable back ends that a zone holds whatever the load: headroom for bursts and losses.
+/// Reclaimable back ends that each zone keeps regardless of load, as headroom for bursts and losses.
 const RECLAIMABLE_HEADROOM: u32 = 1;
 
-/// The orders for one service: for each zone its lasting and its reclaimable back ends.
+/// Plans the orders of one service: on-demand and reclaimable back ends for each zone.
 pub fn plan(inputs: &ScalingInputs<'_>) -> Vec<CapacityOrder> {
     let lowest = inputs.limits.minimum.max(1);
     let zones = cheapest_first(inputs);
@@ -75,7 +76,7 @@
     .collect()
 }
 
-/// The zones by price, so that what does not divide evenly goes to the cheapest.
+/// The zones ordered by price, so that the remainder of an uneven division goes to the cheapest.
 fn cheapest_first<'a>(inputs: &ScalingInputs<'a>) -> Vec<&'a ZoneSupply> {
     let price = |supply: &ZoneSupply| inputs.limits.zone_prices.get(&supply.zone).copied().unwrap_or(1.0);
     let mut zones: Vec<&ZoneSupply> = inputs.zones.iter().collect();
@@ -84,18 +85,20 @@
     zones
 }
 
-/// Whether reclaimable back ends are scarce: a zone can't get any, or lasting ones still stand in for them.
+/// Whether reclaimable back ends are scarce: a zone can't get any, or on-demand substitutes are still
+/// running.
 fn are_scarce(zones: &[&ZoneSupply], bases: &[u32]) -> bool {
     zones.iter().zip(bases).any(|(zone, base)| zone.is_exhausted || zone.on_demand_ordered > *base)
 }
 
-/// Lasting back ends that each zone keeps beside reclaimable ones, cheapest zone first: one in all.
+/// On-demand back ends that each zone keeps in addition to reclaimable ones, cheapest zone first: one in
+/// total.
 fn on_demand_bases(zones: usize) -> Vec<u32> {
     (0..zones).map(|position| u32::from(position == 0)).collect()
 }
 
-/// Divides stand-ins evenly; a zone that has lost its reclaimable ones and can't get any keeps its minimum, since it
-/// may be cut off from the others next.
+/// Divides substitutes evenly. A zone that has lost all its reclaimable back ends and can't get new ones
+/// keeps its minimum, since it may become isolated from the other zones next.
 fn divide_substitutes(zones: &[&ZoneSupply], bases: &[u32], missing: u32, lowest: u32) -> Vec<u32> {
     let least = |zone: &ZoneSupply, base: u32| {
         let is_empty = zone.is_exhausted && zone.reclaimable_usable == 0;
@@ -105,9 +108,9 @@
     parts.zip(zones.iter().zip(bases)).map(|(part, (zone, base))| part.max(least(zone, *base))).collect()
 }
 
-/// Lasting back ends beyond the base that the work needs while reclaimable ones are scarce. While a zone
-/// can't get any, they do the work also when the zone that holds the most loses them next; later they
-/// stay until reclaimable ones take requests.
+/// On-demand back ends beyond the base that are needed while reclaimable ones are scarce. While a zone can't
+/// get any, the remaining back ends must handle the load even if the zone with the most reclaimable ones
+/// loses them next. After that, substitutes stay until reclaimable back ends accept requests.
 fn missing_substitutes(inputs: &ScalingInputs<'_>, base: u32) -> u32 {
     let usable_by_zone = || inputs.zones.iter().map(|supply| supply.reclaimable_usable);
     let present = base + usable_by_zone().sum::<u32>();
@@ -119,8 +122,8 @@
     now.max(inputs.needed.after_loss.saturating_sub(left))
 }
 
-/// Divides reclaimable back ends evenly. While they are scarce, every zone keeps what it holds:
-/// what is given back then can't be had again, and the next zone may be taken away meanwhile.
+/// Divides reclaimable back ends evenly. While they are scarce, every zone keeps those that it has: they
+/// could not be ordered again once released, and the next zone may lose its own in the meantime.
 fn divide_reclaimable(zones: &[&ZoneSupply], needed: u32, are_scarce: bool) -> Vec<u32> {
     let parts = divide(needed, zones.len());
     if !are_scarce {
@@ -129,7 +132,7 @@
     zones.iter().zip(parts).map(|(zone, part)| part.max(zone.reclaimable_usable)).collect()
 }
 
-/// Divides a number into equal parts; the first parts are larger by one where it does not go evenly.
+/// Divides a number into equal parts; if there is a remainder, the first parts are larger by one.
 fn divide(number: u32, parts: usize) -> Vec<u32> {
     let parts = parts.max(1) as u32;
     (0..parts).map(|position| number / parts + u32::from(position < number % parts)).collect()
@@ -140,33 +143,33 @@
     CapacityOrder { service: inputs.service.clone(), zone: supply.zone.clone(), reclaimable, wanted }
 }
 
-/// An order that was given.
+/// A submitted capacity order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SubmittedOrder {
-    /// How many were ordered.
+    /// Number of back ends ordered.
     pub wanted: u32,
-    /// When.
+    /// Time of the order.
     pub at: Instant,
-    /// Most that were seen since to take requests.
+    /// Largest number of back ends seen accepting requests since then.
     most_usable: u32,
 }
 
 impl SubmittedOrder {
-    /// An order given now.
+    /// Creates a record of an order submitted at `at`.
     pub fn new(wanted: u32, at: Instant) -> Self {
         Self { wanted, at, most_usable: 0 }
     }
 
-    /// Whether some of its back ends were there and are not any more.
+    /// Whether back ends of the order were usable and no longer are.
     fn has_lost(&self, usable: u32) -> bool {
         usable < self.most_usable.min(self.wanted)
     }
 }
 
-/// Time beyond the boot time after which ordered back ends that are missing are ordered again.
+/// Margin added to the boot time before missing back ends are ordered again.
 const REORDER_MARGIN: Duration = Duration::from_secs(2);
 
-/// Notes what takes requests now of what was ordered for a service.
+/// Records how many back ends of a service's orders accept requests now.
 pub fn note_usable(
     submitted: &mut BTreeMap<OrderKey, SubmittedOrder>,
     service: &ServiceName,
@@ -177,9 +180,10 @@
     }
 }
 
-/// The orders of `plan` that are due: those that differ from what was last ordered, and those whose back ends are missing although
-/// they had time to boot, or because they crashed or were taken away. These are ordered again at once: if none can be had
-/// now, others are ordered in their place before more are taken.
+/// The orders of `plan` that must be submitted: those that differ from the last submitted order, and those
+/// whose back ends are missing although they had time to boot, or because they crashed or were reclaimed. The
+/// latter are ordered again immediately: if none are available, substitutes are ordered before further back
+/// ends are reclaimed.
 pub fn orders_due(
     plan: &[CapacityOrder],
     submitted: &BTreeMap<OrderKey, SubmittedOrder>,
@@ -197,13 +201,13 @@
     plan.iter().filter(is_due).cloned().collect()
 }
 
-/// Back ends of one kind that take requests.
+/// Back ends of one kind that accept requests.
 fn usable(zones: &[ZoneSupply], key: &OrderKey) -> u32 {
     let Some(supply) = zones.iter().find(|supply| supply.zone == key.zone) else { return 0 };
     if key.reclaimable { supply.reclaimable_usable } else { supply.on_demand_usable }
 }
 
-/// What an order is about.
+/// Identifies the subject of an order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderKey {
     service: ServiceName,
@@ -212,7 +216,7 @@
 }
 
 impl OrderKey {
-    /// The key of orders of one kind of back end.
+    /// The key of orders for one kind of back end.
     pub fn new(service: &ServiceName, zone: &ZoneName, reclaimable: bool) -> Self {
         Self { service: service.clone(), zone: zone.clone(), reclaimable }
     }
--- a/crates/beamwall-gateway/src/sizing.rs
+++ b/crates/beamwall-gateway/src/sizing.rs
@@ -1,62 +1,65 @@
-//! How many back ends a workload needs: the fewest at which what is expected of each keeps callers' objectives.
+//! Computes how many back ends a workload needs: the smallest number at which the expected load of each still
+//! meets the callers' objectives.
 
 use beamwall_engine_model::{Occupancy, ServiceEstimates, Workload};
 use serde::{Deserialize, Serialize};
 
-/// Most back ends that are tried: a service that would need more is given what it may have.
+/// Largest number of back ends considered. A service that would need more gets this number, subject to its
+/// limits.
 const MAX_BACK_ENDS: u32 = 20_000;
 
-/// What a service's callers want, as its routes say.
+/// Objectives of a service's callers, from its routes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Objectives {
     /// Time to the first event, in milliseconds.
     pub first_event_ms: f64,
-    /// Longest pause between two events, in milliseconds; `None` where none is stated.
+    /// Longest gap between two events, in milliseconds; `None` if no objective is set.
     pub pause_ms: Option<f64>,
 }
 
-/// How full back ends may be. The figures are shares, so they hold for engines of any speed.
+/// Maximum utilization of back ends. The values are fractions, so they apply to engines of any speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Utilization {
-    /// Part of the slots that may be taken in the mean.
+    /// Fraction of the slots that may be occupied on average.
     pub slots: f64,
-    /// Part of the time for which prompts may be read.
+    /// Fraction of the time that may be spent on prefill.
     pub reading: f64,
 }
 
-/// While reclaimable back ends can be had and there are few. Arrivals come in bursts, and a zone's back ends may go at once.
+/// While reclaimable back ends are available and the number of back ends is small. Arrivals come in bursts,
+/// and a zone's back ends may all be lost at once.
 pub const NORMAL_UTILIZATION: Utilization = Utilization { slots: 0.33, reading: 0.33 };
-/// Back ends beyond the work, for each unit of the square root of the work in busy back ends: the headroom that
-/// random arrivals need grows no faster (square-root staffing). With 6 the work of 100 back ends that read without a pause is done
-/// by 160; they bear the loss of every fifth or half as much work again. Beyond some 26 back ends it is less
-/// headroom than [`USUAL`].
+/// Back ends beyond the work, per unit of the square root of the work measured in busy back ends. The
+/// headroom that random arrivals require grows no faster (square-root staffing). With 6, the work of 100 back
+/// ends that prefill continuously is handled by 160, which can tolerate the loss of one in five or 50 % more
+/// work. Above about 26 back ends this is less headroom than [`NORMAL_UTILIZATION`].
 const HEADROOM_PER_ROOT: f64 = 6.0;
-/// Fullness that is not exceeded however many there are.
+/// Utilization that is never exceeded, regardless of the number of back ends.
 const MAX_NORMAL_UTILIZATION: f64 = 0.6;
-/// For lasting back ends that stand in for missing reclaimable ones.
+/// For on-demand substitutes of missing reclaimable back ends.
 pub const SUBSTITUTE_UTILIZATION: Utilization = Utilization { slots: 0.7, reading: 0.7 };
-/// After the next loss of a zone's reclaimable ones, while none can be had.
+/// After the next loss of a zone's reclaimable back ends, while none are available.
 pub const AFTER_LOSS_UTILIZATION: Utilization = Utilization { slots: 0.95, reading: 0.85 };
 
-/// How full `count` back ends may usually be: the more there are, the fuller.
+/// Normal utilization of `count` back ends; it increases with their number.
 pub fn normal_utilization(count: u32) -> Utilization {
     let root = ((HEADROOM_PER_ROOT.powi(2) + 4.0 * f64::from(count)).sqrt() - HEADROOM_PER_ROOT) / 2.0;
     let busy = (root.powi(2) / f64::from(count.max(1))).min(MAX_NORMAL_UTILIZATION);
     Utilization { slots: NORMAL_UTILIZATION.slots.max(busy), reading: NORMAL_UTILIZATION.reading.max(busy) }
 }
 
-/// How many back ends are needed at each fullness.
+/// Number of back ends needed at each utilization.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Needed {
-    /// While reclaimable back ends can be had.
+    /// While reclaimable back ends are available.
     pub usual: u32,
-    /// Where lasting ones stand in.
+    /// While on-demand substitutes are used.
     pub standing_in: u32,
-    /// After the next loss.
+    /// After the next loss of a zone's reclaimable back ends.
     pub after_loss: u32,
 }
 
-/// How many back ends `work` needs; `None` while too little is known of them.
+/// Number of back ends that `work` needs; `None` while the service's model is not trained.
 pub fn needed(
     work: Workload,
     estimates: &ServiceEstimates,
@@ -72,7 +75,7 @@
     })
 }
 
-/// The fewest back ends that are no fuller than `fullness` and keep the objectives.
+/// The smallest number of back ends that does not exceed `utilization` and meets the objectives.
 pub fn min_back_ends(
     work: Workload,
     estimates: &ServiceEstimates,
@@ -83,8 +86,8 @@
     min_back_ends_at(work, estimates, slots, objectives, |_| utilization)
 }
 
-/// The fewest back ends that are no fuller than so many may be and keep the objectives. More never do worse, so it is
-/// found by halving.
+/// The smallest number of back ends that does not exceed the utilization limit for that number and meets the
+/// objectives. A larger number never performs worse, so it is found by binary search.
 fn min_back_ends_at(
     work: Workload,
     estimates: &ServiceEstimates,
@@ -110,8 +113,8 @@
     Some(enough)
 }
 
-/// Whether a back end so occupied keeps the objectives. One that can't be kept at idle back ends is none: more of
-/// them don't help.
+/// Whether a back end with this occupancy meets the objectives. An objective that even an idle back end
+/// misses is ignored, since more back ends would not help.
 fn meets_objectives(
     occupancy: Occupancy,
     idle: Occupancy,
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is read whole before it is passed on.
+//! Calls whose response is buffered before it is forwarded.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
 use crate::placement::Choice;
 use crate::refusal::Refusal;
 
-/// Largest answer that is held in memory.
+/// Largest response that is buffered in memory.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Objectives after which another back end is looked for where a repeatable call got no answer.
+/// Number of objectives after which failover starts for a repeatable call without a response.
 const FAILOVER_DELAY_OBJECTIVES: u32 = 1;
-/// Parts of the time left after one of which this is done at the latest.
+/// Failover starts at the latest after the remaining time divided by this.
 const REMAINING_TIME_DIVISOR: u32 = 2;
 
-/// A whole answer of a back end.
+/// A complete response of a back end.
 struct BufferedResponse {
     parts: Parts,
     body: Bytes,
 }
 
-/// Forwards a call until a back end answers or no attempt is left.
+/// Forwards a call until a back end responds or no attempt is left.
 pub async fn forward(forwarder: &Forwarder, call: &Call) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::default();
     let mut failed_response = None;
@@ -63,7 +63,8 @@
     }
 }
 
-/// Passes an answer on that was opened elsewhere, for example a stream's failure.
+/// Buffers and forwards a response that was opened elsewhere, for example the error response to a stream
+/// request.
 pub async fn respond_buffered(
     forwarder: &Forwarder,
     call: &Call,
@@ -72,7 +73,7 @@
     read_buffered(forwarder, call, opened).await.map(|buffered| to_caller_response(forwarder, buffered))
 }
 
-/// Sends a call and waits for the head of its answer. A back end that is silent is left where another one takes the call.
+/// Sends a call and waits for the response head. Abandons a silent back end once another one is available.
 async fn open(
     forwarder: &Forwarder,
     call: &Call,
@@ -95,8 +96,8 @@
     }
 }
 
-/// How long a repeatable call waits before another back end is looked for, while there is time for one. Any other call waits as
-/// long as it may.
+/// How long a repeatable call waits before failover starts, leaving time for another attempt. `None` for any
+/// other call, which waits until its deadline.
 fn failover_delay(call: &Call, attempts: &Attempts) -> Option<Duration> {
     if !call.may_fail_over(attempts.sent + 1) {
         return None;
@@ -105,7 +106,7 @@
     Some(usual.min(call.remaining() / REMAINING_TIME_DIVISOR))
 }
 
-/// Notes how long a back end took for a call.
+/// Records how long a back end took for a call.
 fn note_plain_call(
     forwarder: &Forwarder,
     call: &Call,
@@ -132,7 +133,7 @@
     let OpenResponse { backend, response, work } = opened;
     let (parts, body) = response.into_parts();
     let left = call.remaining();
-    // The body's own limit does not count the time asleep.
+    // The time limit of the body reader does not include the time for which the machine was suspended.
     let read = timers::timeout(left, read_limited(body, MAX_RESPONSE_BYTES, left)).await;
     let read = read.unwrap_or(Err(ReadError::TooSlow(left)));
     drop(work);
--- a/crates/beamwall-gateway/src/unreachable_zones.rs
+++ b/crates/beamwall-gateway/src/unreachable_zones.rs
@@ -1,9 +1,9 @@
-//! Zones from which this node seems to be cut off.
+//! Detects zones from which this node seems to be partitioned.
 //!
-//! When a zone is cut off, each of its engines would otherwise be found unreachable by a request of its own that
-//! waits for a connection. Two signs together tell it of all: no node of the zone is heard, and an engine there
-//! could not be reached. Either alone says little: a zone's nodes may all be down while its engines serve, and a
-//! single engine may crash.
+//! If a zone is partitioned, each of its engines would otherwise be found unreachable only by a request that
+//! waits for a connection. Two signs together identify all of them at once: this node receives messages from
+//! no node of the zone, and an engine of the zone could not be reached. A single sign is not enough: a zone's
+//! nodes may all be down while its engines serve, and a single engine may crash.
 
 use std::collections::HashSet;
 
@@ -15,20 +15,20 @@
 use crate::health::HealthTracker;
 use crate::placement::UnreachableReports;
 
-/// Zones from which this node seems to be cut off.
+/// Zones from which this node seems to be partitioned.
 #[derive(Debug, Default)]
 pub struct UnreachableZones {
     zones: ArcSwap<HashSet<ZoneName>>,
 }
 
 impl UnreachableZones {
-    /// Whether a zone seems to be cut off.
+    /// Whether this node seems to be partitioned from a zone.
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.zones.load().contains(zone)
     }
 
-    /// Takes the zones of which no node is heard. One that was taken for cut off stays so until a node of it is
-    /// heard; gives those that are found cut off only now.
+    /// Updates the set from the silent zones, from which this node receives no messages. An unreachable zone
+    /// stays so until a node of it is heard from again. Returns the zones newly found unreachable.
     pub fn update(
         &self,
         silent: &HashSet<ZoneName>,
--- a/crates/beamwall-gateway/src/usage.rs
+++ b/crates/beamwall-gateway/src/usage.rs
@@ -1,16 +1,17 @@
-//! What is billed: the requests that began to run, by tenant and window.
+//! Usage to be billed: the requests that started to execute, by tenant and window.
 //!
-//! Every node counts its own and tells its counts to all others with each heartbeat, so the counts of
-//! a node that is killed are known to the rest but for its last heartbeat period. A node's counts
-//! carry its incarnation: a restarted node counts anew and both lives are summed. A node that starts asks for what
-//! others know, since nobody tells a life's counts after its end.
+//! Every node counts its own requests and sends its counts to all other nodes with each heartbeat, so the
+//! other nodes know the counts of a killed node except for those of its last heartbeat interval. Counts are
+//! kept by node generation: a restarted node starts counting again, and both generations are added. A node
+//! that starts requests the counts known to others, since nobody reports a generation's counts after its end.
 //!
-//! What the nodes told each other is gone when all of them are killed. So whoever reports carries on what an earlier one wrote down:
-//! sums, with the lives that they are of. Counts only grow, so of these lives the larger is right, what was written down or what is
-//! known of them; whatever other lives counted comes on top.
+//! The counts exchanged between nodes are lost if all nodes are killed. The node that reports usage therefore
+//! stores a checkpoint, from which its successor continues: sums, and the generations that they include.
+//! Counts only grow, so for these generations the larger one of the checkpoint and the known counts is
+//! correct; the counts of all other generations are added.
 //!
-//! In a large deployment other zones are known by sums that their relays tell. Each sum is a lower bound
-//! of what the zone counted, so of several the largest is right.
+//! In a large deployment other zones are known by sums that their relays report. Each sum is a lower bound of
+//! what the zone counted, so the largest one is correct.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -20,24 +21,25 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Windows that are kept after the newest.
+/// Number of windows kept before the newest.
 const KEPT_WINDOWS: u64 = 12;
 
-/// The requests that began in one window.
+/// The requests that started in one window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// The window's number: window k starts k lengths after 1970.
+    /// The window's number: window k starts k window lengths after 1970.
     pub window: u64,
     /// Requests by tenant.
     pub counts: BTreeMap<TenantName, u64>,
 }
 
-/// What somebody who reports wrote down: the sums of some windows, and the lives that they are of.
+/// Checkpoint stored by the node that reports usage: the sums of several windows and the generations that
+/// they include.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCheckpoint {
-    /// The lives, as short marks: 300 of them take some 3 kB.
+    /// Hashes of the node generations; 300 of them take about 3 kB.
     pub lives: BTreeSet<u32>,
-    /// The sums.
+    /// The sums by window.
     pub windows: Vec<WindowCounts>,
 }
 
@@ -50,12 +52,13 @@
     zones: HashMap<ZoneName, Windows>,
     checkpointed: Windows,
     checkpointed_generations: BTreeSet<u32>,
-    /// Rises with each count that grows.
+    /// Incremented whenever a count grows.
     changes: u64,
 }
 
 impl State {
-    /// Forgets lives that have counted nothing for as many windows as are kept: else each restart of a node would stay.
+    /// Removes generations that have counted nothing within the windows that are kept; otherwise each restart
+    /// of a node would leave an entry forever.
     fn remove_stale_generations(&mut self) {
         let newest_of = |windows: &Windows| windows.keys().next_back().copied();
         let newest = self.peers.values().filter_map(newest_of).max().unwrap_or(0);
@@ -64,27 +67,27 @@
     }
 }
 
-/// The mark of a node's life.
+/// Hash of a node generation.
 fn generation_hash(node: &NodeId, generation: u64) -> u32 {
     xxh3_64(format!("{node}/{generation}").as_bytes()) as u32
 }
 
-/// The counts of all nodes that are known here.
+/// The counts of all nodes, as far as this node knows them.
 #[derive(Debug)]
 pub struct UsageLedger {
     window_length: Duration,
-    /// The mark of this life.
+    /// Hash of this node's generation.
     own_hash: u32,
     state: Mutex<State>,
 }
 
 impl UsageLedger {
-    /// An empty ledger with windows of `window_length`.
+    /// Creates an empty ledger with windows of `window_length`.
     pub fn new(window_length: Duration) -> Self {
         Self { window_length, own_hash: 0, state: Mutex::default() }
     }
 
-    /// The same as the ledger of one life of a node.
+    /// Makes this the ledger of the given generation of a node.
     pub fn for_generation(self, node: &NodeId, generation: u64) -> Self {
         Self { own_hash: generation_hash(node, generation), ..self }
     }
@@ -93,14 +96,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The window of a moment, and how much of it has passed.
+    /// The window that contains a time, and the time elapsed since the start of that window.
     pub fn window_at(&self, at: SystemTime) -> (u64, Duration) {
         let since = at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let length = self.window_length.as_millis().max(1) as u64;
         (since / length, Duration::from_millis(since % length))
     }
 
-    /// Counts a request that began to run.
+    /// Counts a request that started to execute.
     pub fn record(&self, tenant: &TenantName, began: SystemTime) {
         let (window, _) = self.window_at(began);
         let mut state = self.lock();
@@ -109,12 +112,12 @@
         prune(&mut state.own, window);
     }
 
-    /// This node's own counts in its newest windows, at most `windows`, to be told to the others.
+    /// This node's own counts in its newest windows, at most `windows`, to be sent to its peers.
     pub fn recent(&self, windows: usize) -> Vec<WindowCounts> {
         newest(&self.lock().own, windows)
     }
 
-    /// Takes what one life of another node counted; counts only grow.
+    /// Merges the counts of one generation of another node. Counts only grow.
     pub fn merge(&self, node: &NodeId, incarnation: u64, reported: Vec<WindowCounts>) {
         let mut state = self.lock();
         let has_grown =
@@ -123,20 +126,20 @@
         state.remove_stale_generations();
     }
 
-    /// Takes the sums that a relay of another zone told.
+    /// Merges the sums reported by a relay of another zone.
     pub fn merge_zone(&self, zone: &ZoneName, reported: Vec<WindowCounts>) {
         let mut state = self.lock();
         let has_grown = raise_to_reported(state.zones.entry(zone.clone()).or_default(), reported);
         state.changes += u64::from(has_grown);
     }
 
-    /// Forgets all lives of a node whose counts come with its zone's sums from now on.
+    /// Removes all generations of a node whose counts are included in its zone's sums from now on.
     pub fn remove_node_counts(&self, node: &NodeId) {
         self.lock().peers.retain(|(known, _), _| known != node);
     }
 
-    /// What others' lives counted that are not forgotten yet: the node, its life and the counts in its newest windows, at
-    /// most `windows`.
+    /// Known counts of other nodes: the node, its generation, and the counts in its newest windows, at most
+    /// `windows`.
     pub fn generations(&self, windows: usize) -> Vec<(NodeId, u64, Vec<WindowCounts>)> {
         let state = self.lock();
         let generation = |((node, generation), counted): (&(NodeId, u64), &Windows)| {
@@ -145,7 +148,7 @@
         state.peers.iter().map(generation).collect()
     }
 
-    /// The sums of this node and all nodes that told their own, in the newest `windows` windows.
+    /// The sums of this node and all nodes that report their own counts, in the newest `windows` windows.
     pub fn sum_of_nodes(&self, windows: usize) -> Vec<WindowCounts> {
         let state = self.lock();
         let mut sums = Windows::new();
@@ -157,12 +160,12 @@
         sums.into_iter().rev().take(windows).map(|(window, counts)| WindowCounts { window, counts }).collect()
     }
 
-    /// A number that changes when any count has grown.
+    /// A number that changes whenever a count has grown.
     pub fn changes(&self) -> u64 {
         self.lock().changes
     }
 
-    /// What is to be written down of the windows from `oldest` on.
+    /// Creates a checkpoint of the windows from `oldest` on.
     pub fn to_checkpoint(&self, oldest: u64) -> UsageCheckpoint {
         let state = self.lock();
         let sources = state.sources(self.own_hash).flat_map(|(_, windows)| windows.keys());
@@ -173,7 +176,7 @@
         UsageCheckpoint { lives: lives.collect(), windows: counted.collect() }
     }
 
-    /// Takes what another one wrote down, in place of what was taken before.
+    /// Replaces the checkpointed sums with those of a stored checkpoint.
     pub fn restore_checkpoint(&self, checkpointed: UsageCheckpoint) {
         let mut state = self.lock();
         state.checkpointed =
@@ -188,7 +191,7 @@
 }
 
 impl State {
-    /// Who counted, each with the mark of the life; sums of other zones have none.
+    /// All sources of counts with the hash of their generation; sums of other zones have none.
     fn sources(&self, own_hash: u32) -> impl Iterator<Item = (Option<u32>, &Windows)> {
         let peers = self
             .peers
@@ -235,7 +238,7 @@
     }
 }
 
-/// Raises counts to those that were told; counts only grow. Returns whether any did.
+/// Raises counts to the reported values, since counts only grow. Returns whether any count has grown.
 fn raise_to_reported(known: &mut Windows, reported: Vec<WindowCounts>) -> bool {
     let mut has_grown = false;
     for window in reported {
