--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 use crate::forward::{Call, Forwarder};
 use crate::load::OpenRequestGuard;
 use crate::placement::Choice;
-use crate::ports::{AnswerHead, ForwardHead};
+use crate::ports::{ForwardHead, ResponseHead};
 
 /// If the response is lost later than this after sending, the back end is assumed to have started the
 /// request. A back end that resets the connection sooner has not accepted anything.
@@ -129,7 +129,7 @@
         None => Err(AttemptFailure::timed_out(limit)),
         Some(Err(error)) => {
             if matches!(error, PoolError::Refused(_)) {
-                forwarder.quarantine.note_ended(backend);
+                forwarder.quarantine.note_terminated(backend);
             }
             if matches!(error, PoolError::Refused(_) | PoolError::Connect(..)) {
                 forwarder.backend_state.staleness.note_connect_failure(backend, Instant::now());
@@ -148,7 +148,7 @@
     if let Err(failure) = &result
         && failure.execution == Execution::MaybeExecuted
     {
-        forwarder.note_answer(call, backend, true);
+        forwarder.record_response(call, backend, true);
     }
     result
 }
@@ -161,7 +161,7 @@
     backend: &BackendId,
     next: Choice,
 ) -> FailedAttempt {
-    forwarder.note_answer(call, backend, true);
+    forwarder.record_response(call, backend, true);
     forwarder.backend_state.health.note_unreachable(backend, Instant::now());
     FailedAttempt { failure: AttemptFailure::lost("the engine is silent"), next: Some(next) }
 }
@@ -208,7 +208,7 @@
     work: OpenRequestGuard,
 ) -> Result<OpenResponse, AttemptFailure> {
     let status = response.status();
-    let head = forwarder.dialect.read_answer(status, response.headers());
+    let head = forwarder.dialect.read_response_head(status, response.headers());
     if !matches_request(&head, call) {
         let other = head.request_id.unwrap_or_default();
         return Err(AttemptFailure::may_have_run(format!("the answer belongs to request {other:?}")));
@@ -231,7 +231,7 @@
 }
 
 /// A response without a request identifier can't be distinguished from a late response to another request.
-fn matches_request(head: &AnswerHead, call: &Call) -> bool {
+fn matches_request(head: &ResponseHead, call: &Call) -> bool {
     match (&head.request_id, &call.request_id) {
         (Some(answered), Some(asked)) => answered == asked,
         (None, _) => !head.is_signed,
--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -64,7 +64,7 @@
 
 impl Attempts {
     /// Records that an attempt began to respond.
-    pub fn begin(&mut self) {
+    pub fn note_response_started(&mut self) {
         self.sent += 1;
     }
 
@@ -235,7 +235,7 @@
         let timed_out = call.remaining().is_zero();
         match (self.may_have_run, timed_out) {
             (true, true) => Refusal::TimedOut,
-            (true, false) => Refusal::AnswerLost(reason),
+            (true, false) => Refusal::ResponseLost(reason),
             (false, true) => Refusal::TooLate,
             (false, false) => Refusal::NotRun(reason),
         }
--- a/crates/beamwall-gateway/src/directory.rs
+++ b/crates/beamwall-gateway/src/directory.rs
@@ -218,9 +218,9 @@
         self.backends.get(&backend.instance).is_some_and(|known| known.follows(backend))
     }
 
-    /// Changes after revision `held` of a peer; `None` if they are no longer logged.
-    pub fn changes_since(&self, held: u64) -> Option<DirectoryChanges> {
-        self.recent.since(held)
+    /// Changes after `peer_revision`; `None` if they are no longer logged.
+    pub fn changes_since(&self, peer_revision: u64) -> Option<DirectoryChanges> {
+        self.recent.since(peer_revision)
     }
 
     /// Installs a snapshot if it is newer; returns whether it was installed.
--- a/crates/beamwall-gateway/src/directory_log.rs
+++ b/crates/beamwall-gateway/src/directory_log.rs
@@ -43,14 +43,14 @@
 
     /// The changes after a revision, merged to the last change of each back end; `None` if no logged step
     /// applies to that revision.
-    pub(crate) fn since(&self, held: u64) -> Option<DirectoryChanges> {
-        let first = self.steps.iter().rposition(|step| step.from.contains(&held))?;
+    pub(crate) fn since(&self, peer_revision: u64) -> Option<DirectoryChanges> {
+        let first = self.steps.iter().rposition(|step| step.from.contains(&peer_revision))?;
         let steps = self.steps.range(first..);
         let mut last: BTreeMap<&InstanceName, &DirectoryChange> = BTreeMap::new();
         for change in steps.flat_map(|step| &step.changes.changes) {
             last.insert(change.instance(), change);
         }
-        let revision = self.steps.back().map_or(held, |step| step.changes.revision);
+        let revision = self.steps.back().map_or(peer_revision, |step| step.changes.revision);
         Some(DirectoryChanges { revision, changes: last.into_values().cloned().collect() })
     }
 }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -230,7 +230,7 @@
 
     /// Counts a response for the rollout of its service, if there is one. It is bad if the request failed or
     /// took several times as long as expected.
-    pub fn note_answer(&self, call: &Call, backend: &BackendId, is_bad: bool) {
+    pub fn record_response(&self, call: &Call, backend: &BackendId, is_bad: bool) {
         if let Some(listed) = self.directory.load().get(backend) {
             self.rollouts.note_answer(&call.service, &call.route.name, backend, &listed.version, is_bad);
         }
@@ -282,7 +282,7 @@
             observed: self
                 .backend_state
                 .models
-                .take_unreported(|backend| group.holds(backend), Instant::now()),
+                .take_unreported(|backend| group.contains_engine(backend), Instant::now()),
             pause_objective_ms: call.route.gap_objective_ms,
             remaining: call.remaining(),
             enough_ms,
@@ -378,7 +378,12 @@
     /// Number of requests that run at a back end. `known_when_chosen` is the number known to the node that
     /// chose it. If engines are divided into groups, this node receives reports only from its own zone, so
     /// the larger number is more accurate.
-    pub fn running(&self, service: &ServiceName, backend: &BackendId, known_when_chosen: u32) -> u32 {
+    pub fn running_requests(
+        &self,
+        service: &ServiceName,
+        backend: &BackendId,
+        known_when_chosen: u32,
+    ) -> u32 {
         let reported = self.backend_state.loads.total(backend).requests;
         let is_divided = self.directory.load().groups(service).is_some_and(EngineGroups::is_divided);
         if is_divided { reported.max(known_when_chosen) } else { reported }
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -71,14 +71,14 @@
         let policy = gateway.policy.load_full();
         let mut context =
             ResponseLogContext { route: None, tenant: None, fingerprint: None, version: policy.version() };
-        let result = gateway.answer(request, head, &policy, received, &mut context).await;
+        let result = gateway.handle_request(request, head, &policy, received, &mut context).await;
         match result {
             Ok(response) => {
-                context.note_answer(gateway, request_id.as_deref(), &response, received);
+                context.log_response(gateway, request_id.as_deref(), &response, received);
                 response
             }
             Err(refusal) => {
-                context.note_refusal(gateway, request_id.as_deref(), &refusal, received);
+                context.log_refusal(gateway, request_id.as_deref(), &refusal, received);
                 refusal.response(gateway.forwarder.dialect.as_ref(), request_id.as_deref())
             }
         }
@@ -124,7 +124,7 @@
         metrics.latency.with_label_values(&[kind, &tenant]).observe(received.elapsed().as_secs_f64());
     }
 
-    fn note_answer(
+    fn log_response(
         &self,
         gateway: &Gateway,
         request_id: Option<&str>,
@@ -142,13 +142,7 @@
         });
     }
 
-    fn note_refusal(
-        &self,
-        gateway: &Gateway,
-        request_id: Option<&str>,
-        refusal: &Refusal,
-        received: Instant,
-    ) {
+    fn log_refusal(&self, gateway: &Gateway, request_id: Option<&str>, refusal: &Refusal, received: Instant) {
         self.count(gateway, refusal.status().as_str(), received);
         emit(&GatewayRefused {
             request: request_id.unwrap_or_default().to_owned(),
@@ -169,7 +163,7 @@
         self.policy.load().version() > 0 && self.forwarder.directory.load().is_known()
     }
 
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         head: CallHead,
@@ -282,7 +276,7 @@
 
 fn deadline(route: &Route, head: &CallHead, received: Instant) -> Instant {
     let hold_limit = Duration::from_millis(route.hold_limit_ms);
-    received + head.caller_timeout.map_or(hold_limit, |patience| patience.min(hold_limit))
+    received + head.caller_timeout.map_or(hold_limit, |timeout| timeout.min(hold_limit))
 }
 
 fn refusal_from_read_error(error: ReadError) -> Refusal {
--- a/crates/beamwall-gateway/src/lib.rs
+++ b/crates/beamwall-gateway/src/lib.rs
@@ -47,7 +47,7 @@
 pub use handler::{Gateway, GatewayHandler};
 pub use placement::{Choice, PlacementOutcome, PlacementPort, PlacementQuery};
 pub use ports::{
-    AnswerHead, CallHead, ControlStore, ControlStoreError, Dialect, DutyError, DutyPort, ForwardHead, Prompt,
-    PromptPart,
+    CallHead, ControlStore, ControlStoreError, Dialect, DutyError, DutyPort, ForwardHead, Prompt, PromptPart,
+    ResponseHead,
 };
 pub use reporter::Reporter;
--- a/crates/beamwall-gateway/src/lost_responses.rs
+++ b/crates/beamwall-gateway/src/lost_responses.rs
@@ -22,7 +22,7 @@
 
 /// Action that a lost response requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NextStep {
+pub enum ProbeAction {
     /// The back end is known to have terminated: count the request.
     Count,
     /// Probe whether the back end is alive.
@@ -42,7 +42,7 @@
     requests: Vec<Fingerprint>,
     last: Instant,
     is_probed: bool,
-    has_ended: bool,
+    has_terminated: bool,
 }
 
 impl LostResponses {
@@ -51,26 +51,26 @@
     }
 
     /// Records that a back end's response to a request was lost.
-    pub fn note(&self, backend: &BackendId, request: Fingerprint, now: Instant) -> NextStep {
+    pub fn note(&self, backend: &BackendId, request: Fingerprint, now: Instant) -> ProbeAction {
         let mut back_ends = self.lock();
         back_ends.retain(|_, lost| now.saturating_duration_since(lost.last) < LOSS_TTL);
         if back_ends.len() >= MAX_BACK_ENDS && !back_ends.contains_key(backend) {
-            return NextStep::Wait;
+            return ProbeAction::Wait;
         }
         let lost = back_ends.entry(backend.clone()).or_insert_with(|| BackendLosses {
             requests: Vec::new(),
             last: now,
             is_probed: false,
-            has_ended: false,
+            has_terminated: false,
         });
         lost.last = now;
-        if lost.has_ended {
-            return NextStep::Count;
+        if lost.has_terminated {
+            return ProbeAction::Count;
         }
         if lost.requests.len() < MAX_REQUESTS_PER_BACK_END && !lost.requests.contains(&request) {
             lost.requests.push(request);
         }
-        if std::mem::replace(&mut lost.is_probed, true) { NextStep::Wait } else { NextStep::Probe }
+        if std::mem::replace(&mut lost.is_probed, true) { ProbeAction::Wait } else { ProbeAction::Probe }
     }
 
     /// Whether a back end is currently probed.
@@ -79,7 +79,7 @@
     }
 
     /// Records that a probe found the back end alive or was inconclusive.
-    pub fn end_probe(&self, backend: &BackendId) {
+    pub fn finish_probe(&self, backend: &BackendId) {
         if let Some(lost) = self.lock().get_mut(backend) {
             lost.is_probed = false;
         }
@@ -87,10 +87,10 @@
 
     /// Records that a back end terminated; returns the requests whose responses were lost there. Nothing is
     /// recorded for a back end without lost responses.
-    pub fn end(&self, backend: &BackendId) -> Vec<Fingerprint> {
+    pub fn mark_terminated(&self, backend: &BackendId) -> Vec<Fingerprint> {
         let mut back_ends = self.lock();
         let Some(lost) = back_ends.get_mut(backend) else { return Vec::new() };
-        lost.has_ended = true;
+        lost.has_terminated = true;
         std::mem::take(&mut lost.requests)
     }
 }
--- a/crates/beamwall-gateway/src/placement_groups.rs
+++ b/crates/beamwall-gateway/src/placement_groups.rs
@@ -43,7 +43,7 @@
 
     /// Whether an engine belongs to the group. All nodes compute the same result, and few engines move when
     /// the number of groups changes by one.
-    pub fn holds(self, backend: &BackendId) -> bool {
+    pub fn contains_engine(self, backend: &BackendId) -> bool {
         self.count <= 1 || group_of(backend, self.count) == self.number
     }
 }
@@ -103,7 +103,7 @@
     pub fn engines_of(&self, group: EngineGroup) -> Box<dyn Iterator<Item = &Arc<Backend>> + '_> {
         match self.groups.get(group.number as usize) {
             Some(engines) if group.count as usize == self.groups.len() => Box::new(engines.iter()),
-            _ => Box::new(self.engines().filter(move |engine| group.holds(&engine.id))),
+            _ => Box::new(self.engines().filter(move |engine| group.contains_engine(&engine.id))),
         }
     }
 
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -18,7 +18,7 @@
 
 use crate::directory::Directory;
 use crate::fleet_clock::FleetClock;
-use crate::lost_responses::{LostResponses, NextStep};
+use crate::lost_responses::{LostResponses, ProbeAction};
 
 /// Delays before each probe of whether a back end with a lost response still accepts connections. A
 /// terminating process may close its listener some milliseconds after its connections.
@@ -147,11 +147,11 @@
         // its own.
         let Some(listed) = self.backends.find(backend).filter(|listed| !listed.is_leaving) else { return };
         match self.lost_responses.note(backend, request, Instant::now()) {
-            NextStep::Count => self.record_termination(backend, vec![request]),
-            NextStep::Probe => {
+            ProbeAction::Count => self.record_termination(backend, vec![request]),
+            ProbeAction::Probe => {
                 tokio::spawn(self.clone().probe(listed));
             }
-            NextStep::Wait => {}
+            ProbeAction::Wait => {}
         }
     }
 
@@ -171,17 +171,17 @@
         for pause in PROBE_DELAYS {
             tokio::time::sleep(pause).await;
             if self.pool.probe(backend.address).await == Reachability::Refuses {
-                self.note_ended(&backend.id);
+                self.note_terminated(&backend.id);
                 break;
             }
         }
-        self.lost_responses.end_probe(&backend.id);
+        self.lost_responses.finish_probe(&backend.id);
     }
 
     /// Records that a back end terminated: it refuses connections, or a newer generation is listed under its
     /// name.
-    pub fn note_ended(&self, backend: &BackendId) {
-        let open = self.lost_responses.end(backend);
+    pub fn note_terminated(&self, backend: &BackendId) {
+        let open = self.lost_responses.mark_terminated(backend);
         // A back end that has announced in the meantime that it is leaving terminates for reasons of its own.
         if self.backends.find(backend).is_some_and(|listed| listed.is_leaving) {
             return;
@@ -196,9 +196,10 @@
     /// Records back ends of an earlier list that restarted under the same name in a later list.
     pub fn detect_restarts(&self, before: &Directory, after: &Directory) {
         // A back end that has announced that it is leaving terminates for reasons of its own.
-        let ended = before.backends().filter(|known| !known.draining && after.has_newer_generation(known));
-        for backend in ended {
-            self.note_ended(&backend.id);
+        let restarted =
+            before.backends().filter(|known| !known.draining && after.has_newer_generation(known));
+        for backend in restarted {
+            self.note_terminated(&backend.id);
         }
     }
 
@@ -221,7 +222,7 @@
     }
 
     /// Removes expired evidence.
-    pub fn forget_old(&self) {
+    pub fn remove_expired(&self) {
         self.book.forget_old(self.now_ms());
         self.log_changes();
     }
--- a/crates/beamwall-gateway/src/refusal.rs
+++ b/crates/beamwall-gateway/src/refusal.rs
@@ -32,7 +32,7 @@
     /// No back end accepted it, and it was not executed.
     NotRun(String),
     /// It may have been executed, and its response was lost.
-    AnswerLost(String),
+    ResponseLost(String),
     /// It may have been executed, and there was no response in time.
     TimedOut,
     /// It was not started in time.
@@ -65,7 +65,7 @@
             Self::BadBody(_) => StatusCode::BAD_REQUEST,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::QuotaExceeded(_) => StatusCode::TOO_MANY_REQUESTS,
-            Self::AnswerLost(_) => StatusCode::BAD_GATEWAY,
+            Self::ResponseLost(_) => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
@@ -94,7 +94,7 @@
                 exceeded.amount, exceeded.level, exceeded.sharing.heard, exceeded.sharing.known
             ),
             Self::NotRun(reason) => format!("not run: {reason}"),
-            Self::AnswerLost(reason) => format!("the answer is lost: {reason}"),
+            Self::ResponseLost(reason) => format!("the answer is lost: {reason}"),
             Self::TimedOut => "no answer in time".to_owned(),
             Self::TooLate => "not begun in time".to_owned(),
             Self::Held(held) => held.reason(),
--- a/crates/beamwall-gateway/src/retries.rs
+++ b/crates/beamwall-gateway/src/retries.rs
@@ -113,7 +113,7 @@
     }
 
     /// Retries available now, by service.
-    pub fn left(&self) -> Vec<(ServiceName, f64)> {
+    pub fn available_retries(&self) -> Vec<(ServiceName, f64)> {
         let state = self.lock();
         state.services.iter().map(|(service, retries)| (service.clone(), retries.budget.left())).collect()
     }
@@ -152,14 +152,20 @@
     fn note(&mut self, now: Instant, window: Duration) {
         let bucket_length = window / WINDOW_BUCKETS;
         match self.buckets.back_mut() {
-            Some((begun, count)) if now.saturating_duration_since(*begun) < bucket_length => *count += 1,
+            Some((bucket_start, count)) if now.saturating_duration_since(*bucket_start) < bucket_length => {
+                *count += 1
+            }
             _ => self.buckets.push_back((now, 1)),
         }
     }
 
     /// Number of requests in the last window.
     fn count(&mut self, now: Instant, window: Duration) -> u32 {
-        while self.buckets.front().is_some_and(|(begun, _)| now.saturating_duration_since(*begun) > window) {
+        while self
+            .buckets
+            .front()
+            .is_some_and(|(bucket_start, _)| now.saturating_duration_since(*bucket_start) > window)
+        {
             self.buckets.pop_front();
         }
         self.buckets.iter().map(|(_, count)| count).sum()
--- a/crates/beamwall-gateway/src/scaling.rs
+++ b/crates/beamwall-gateway/src/scaling.rs
@@ -118,8 +118,8 @@
     if !inputs.zones.iter().any(|supply| supply.is_exhausted) {
         return now;
     }
-    let left = present - usable_by_zone().max().unwrap_or(0);
-    now.max(inputs.needed.after_loss.saturating_sub(left))
+    let remaining_after_loss = present - usable_by_zone().max().unwrap_or(0);
+    now.max(inputs.needed.after_loss.saturating_sub(remaining_after_loss))
 }
 
 /// Divides reclaimable back ends evenly. While they are scarce, every zone keeps those that it has: they
--- a/crates/beamwall-gateway/src/sizing.rs
+++ b/crates/beamwall-gateway/src/sizing.rs
@@ -23,12 +23,12 @@
     /// Fraction of the slots that may be occupied on average.
     pub slots: f64,
     /// Fraction of the time that may be spent on prefill.
-    pub reading: f64,
+    pub prefill: f64,
 }
 
 /// While reclaimable back ends are available and the number of back ends is small. Arrivals come in bursts,
 /// and a zone's back ends may all be lost at once.
-pub const NORMAL_UTILIZATION: Utilization = Utilization { slots: 0.33, reading: 0.33 };
+pub const NORMAL_UTILIZATION: Utilization = Utilization { slots: 0.33, prefill: 0.33 };
 /// Back ends beyond the work, per unit of the square root of the work measured in busy back ends. The
 /// headroom that random arrivals require grows no faster (square-root staffing). With 6, the work of 100 back
 /// ends that prefill continuously is handled by 160, which can tolerate the loss of one in five or 50 % more
@@ -37,15 +37,15 @@
 /// Utilization that is never exceeded, regardless of the number of back ends.
 const MAX_NORMAL_UTILIZATION: f64 = 0.6;
 /// For on-demand substitutes of missing reclaimable back ends.
-pub const SUBSTITUTE_UTILIZATION: Utilization = Utilization { slots: 0.7, reading: 0.7 };
+pub const SUBSTITUTE_UTILIZATION: Utilization = Utilization { slots: 0.7, prefill: 0.7 };
 /// After the next loss of a zone's reclaimable back ends, while none are available.
-pub const AFTER_LOSS_UTILIZATION: Utilization = Utilization { slots: 0.95, reading: 0.85 };
+pub const AFTER_LOSS_UTILIZATION: Utilization = Utilization { slots: 0.95, prefill: 0.85 };
 
 /// Normal utilization of `count` back ends; it increases with their number.
 pub fn normal_utilization(count: u32) -> Utilization {
     let root = ((HEADROOM_PER_ROOT.powi(2) + 4.0 * f64::from(count)).sqrt() - HEADROOM_PER_ROOT) / 2.0;
     let busy = (root.powi(2) / f64::from(count.max(1))).min(MAX_NORMAL_UTILIZATION);
-    Utilization { slots: NORMAL_UTILIZATION.slots.max(busy), reading: NORMAL_UTILIZATION.reading.max(busy) }
+    Utilization { slots: NORMAL_UTILIZATION.slots.max(busy), prefill: NORMAL_UTILIZATION.prefill.max(busy) }
 }
 
 /// Number of back ends needed at each utilization.
@@ -125,7 +125,7 @@
     let is_kept = |idle: f64, now: f64, objective: f64| idle > objective || now <= objective;
     let gap = |objective| is_kept(idle.event_gap_ms, occupancy.event_gap_ms, objective);
     occupancy.running <= f64::from(slots) * utilization.slots
-        && occupancy.reading_share <= utilization.reading
+        && occupancy.reading_share <= utilization.prefill
         && is_kept(idle.first_event_ms, occupancy.first_event_ms, objectives.first_event_ms)
         && objectives.pause_ms.is_none_or(gap)
 }
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -44,12 +44,12 @@
                 }
                 Ok(buffered) => {
                     let status = buffered.parts.status;
-                    forwarder.note_answer(call, &choice.backend, true);
+                    forwarder.record_response(call, &choice.backend, true);
                     failed_response = Some(buffered);
                     AttemptFailure::may_have_run(format!("failed with status {status}")).into()
                 }
                 Err(failure) => {
-                    forwarder.note_answer(call, &choice.backend, true);
+                    forwarder.record_response(call, &choice.backend, true);
                     failure.into()
                 }
             },
@@ -116,7 +116,7 @@
 ) {
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let is_bad = status.is_server_error() || choice.is_slow(took_ms);
-    forwarder.note_answer(call, &choice.backend, is_bad);
+    forwarder.record_response(call, &choice.backend, is_bad);
     let models = &forwarder.backend_state.models;
     models.note_plain_call(&call.service, &choice.backend, choice.open_requests, took_ms, Instant::now());
 }
@@ -153,6 +153,6 @@
 fn to_caller_response(forwarder: &Forwarder, buffered: BufferedResponse) -> Response<Body> {
     let mut response = Response::new(full(buffered.body));
     *response.status_mut() = buffered.parts.status;
-    *response.headers_mut() = forwarder.dialect.answer_headers(&buffered.parts.headers);
+    *response.headers_mut() = forwarder.dialect.response_headers(&buffered.parts.headers);
     response
 }
