--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -38,7 +38,7 @@
         }
         let failed = match begin(forwarder, call, &choice, call.last_event, &mut attempts).await {
             Ok(Begun::Stream(begun)) => {
-                attempts.begin();
+                attempts.note_response_started();
                 return Ok(relay(forwarder, call, *begun, attempts));
             }
             Ok(Begun::Answer(response)) => return Ok(response),
@@ -105,7 +105,7 @@
         }
     };
     if !opened.response.status().is_success() {
-        forwarder.note_answer(call, &choice.backend, opened.response.status().is_server_error());
+        forwarder.record_response(call, &choice.backend, opened.response.status().is_server_error());
         return Ok(unary::respond_buffered(forwarder, call, opened).await.map(Begun::Answer)?);
     }
     let OpenResponse { response, work, .. } = opened;
@@ -125,7 +125,7 @@
     };
     if let Piece::Broken(failure) = first {
         forwarder.backend_state.health.note(&choice.backend, true, Instant::now());
-        forwarder.note_answer(call, &choice.backend, true);
+        forwarder.record_response(call, &choice.backend, true);
         return Err(failure.after_start().into());
     }
     forwarder.backend_state.health.note_activity(&choice.backend, running::now());
@@ -135,7 +135,8 @@
     if let Some(prompt) = &call.prompt {
         forwarder.backend_state.prefixes.note_prefill(&choice.backend, prompt, Instant::now());
     }
-    let head = StreamHead { status: parts.status, headers: forwarder.dialect.answer_headers(&parts.headers) };
+    let head =
+        StreamHead { status: parts.status, headers: forwarder.dialect.response_headers(&parts.headers) };
     Ok(Begun::Stream(Box::new(BegunStream { head, source, first })))
 }
 
@@ -146,5 +147,5 @@
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.backend_state.models;
     models.note_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
-    forwarder.note_answer(call, &choice.backend, choice.is_slow(took_ms));
+    forwarder.record_response(call, &choice.backend, choice.is_slow(took_ms));
 }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -160,7 +160,8 @@
 
     fn note_event_gap(&self, source: &Source, between_ms: f64) {
         let service = &self.call.service;
-        let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
+        let running =
+            self.forwarder.running_requests(service, &source.choice.backend, source.choice.open_requests);
         let models = &self.forwarder.backend_state.models;
         models.note_event_gap(service, &source.choice.backend, running, between_ms, Instant::now());
     }
@@ -191,7 +192,7 @@
     async fn continue_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<BegunStream> {
         let FailedAttempt { failure, next } = failed;
         self.forwarder.backend_state.health.note(&from.backend, true, Instant::now());
-        self.forwarder.note_answer(&self.call, &from.backend, true);
+        self.forwarder.record_response(&self.call, &from.backend, true);
         self.attempts.note(&self.forwarder, &self.call, &from.backend, failure);
         let mut next = self.attempts.next_choice(&self.forwarder, &self.call, from, next).await;
         while let Some(choice) = next {
@@ -202,7 +203,7 @@
             };
             let failed = match begun {
                 Ok(Begun::Stream(begun)) => {
-                    self.attempts.begin();
+                    self.attempts.note_response_started();
                     self.note_continued(&from.backend, &choice.backend);
                     return Some(*begun);
                 }
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -20,7 +20,7 @@
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{
-    AnswerHead, CallHead, Choice, Dialect, ForwardHead, PlacementOutcome, PlacementPort, PlacementQuery,
+    CallHead, Choice, Dialect, ForwardHead, PlacementOutcome, PlacementPort, PlacementQuery, ResponseHead,
 };
 use beamwall_http::Pool;
 use beamwall_model::ChoiceStrategy;
@@ -41,10 +41,10 @@
     fn forward_headers(&self, _: &HeaderMap, _: &ForwardHead<'_>) -> HeaderMap {
         HeaderMap::new()
     }
-    fn read_answer(&self, _: StatusCode, _: &HeaderMap) -> AnswerHead {
-        AnswerHead::default()
+    fn read_response_head(&self, _: StatusCode, _: &HeaderMap) -> ResponseHead {
+        ResponseHead::default()
     }
-    fn answer_headers(&self, _: &HeaderMap) -> HeaderMap {
+    fn response_headers(&self, _: &HeaderMap) -> HeaderMap {
         HeaderMap::new()
     }
     fn mark_refusal(&self, _: &mut HeaderMap, _: &str) {}
@@ -106,7 +106,7 @@
 }
 
 fn retries_left(forwarder: &Forwarder) -> f64 {
-    forwarder.retries.left().iter().map(|(_, left)| left).sum()
+    forwarder.retries.available_retries().iter().map(|(_, left)| left).sum()
 }
 
 /// An attempt that runs at one engine, for which another is reserved.
--- a/crates/beamwall-gateway/tests/losses.rs
+++ b/crates/beamwall-gateway/tests/losses.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use beamwall_gateway::lost_responses::{LostResponses, NextStep};
+use beamwall_gateway::lost_responses::{LostResponses, ProbeAction};
 use beamwall_model::BackendId;
 use beamwall_quarantine::{Fingerprint, FingerprintHasher};
 use support::backend;
@@ -18,22 +18,22 @@
 fn the_first_loss_asks_for_a_probe_and_the_others_wait_for_it() {
     let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
-    assert_eq!(losses.note(&engine.id, request("a"), now), NextStep::Probe);
-    assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Wait);
-    assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Wait);
-    assert_eq!(losses.end(&engine.id), [request("a"), request("b")]);
-    assert_eq!(losses.note(&engine.id, request("c"), now), NextStep::Count, "its end is known");
-    assert_eq!(losses.end(&engine.id), [], "nothing counts twice");
+    assert_eq!(losses.note(&engine.id, request("a"), now), ProbeAction::Probe);
+    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
+    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
+    assert_eq!(losses.mark_terminated(&engine.id), [request("a"), request("b")]);
+    assert_eq!(losses.note(&engine.id, request("c"), now), ProbeAction::Count, "its end is known");
+    assert_eq!(losses.mark_terminated(&engine.id), [], "nothing counts twice");
 }
 
 #[test]
 fn a_back_end_that_lives_is_probed_again_at_its_next_loss() {
     let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
-    assert_eq!(losses.note(&engine.id, request("a"), now), NextStep::Probe);
-    losses.end_probe(&engine.id);
-    assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Probe);
-    assert_eq!(losses.end(&engine.id), [request("a"), request("b")]);
+    assert_eq!(losses.note(&engine.id, request("a"), now), ProbeAction::Probe);
+    losses.finish_probe(&engine.id);
+    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Probe);
+    assert_eq!(losses.mark_terminated(&engine.id), [request("a"), request("b")]);
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let (engine, now) = (backend("i-1"), Instant::now());
     losses.note(&engine.id, request("a"), now);
     losses.note(&backend("i-2").id, request("b"), now + Duration::from_secs(11));
-    assert_eq!(losses.end(&engine.id), []);
+    assert_eq!(losses.mark_terminated(&engine.id), []);
 }
 
 #[test]
@@ -54,12 +54,12 @@
         losses.note(&backend(name).id, request("a"), now);
         losses.note(&backend("i-0").id, request(name), now);
     }
-    assert!(losses.end(&BackendId::new("i-0")).len() <= 256);
-    let kept = names.iter().filter(|name| !losses.end(&BackendId::new(name.as_str())).is_empty());
+    assert!(losses.mark_terminated(&BackendId::new("i-0")).len() <= 256);
+    let kept = names.iter().filter(|name| !losses.mark_terminated(&BackendId::new(name.as_str())).is_empty());
     assert!(kept.count() <= 512);
 }
 
 #[test]
 fn one_that_lost_nothing_here_ends_without_a_word() {
-    assert_eq!(LostResponses::default().end(&BackendId::new("i-1")), []);
+    assert_eq!(LostResponses::default().mark_terminated(&BackendId::new("i-1")), []);
 }
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -132,7 +132,7 @@
 fn every_engine_is_in_one_group_and_few_move_when_their_number_changes() {
     let engines: Vec<BackendId> = (0..ENGINES).map(|number| format!("e{number}").as_str().into()).collect();
     let group_of = |backend: &BackendId, count: u32| {
-        let holds = |number: &u32| EngineGroup { number: *number, count }.holds(backend);
+        let holds = |number: &u32| EngineGroup { number: *number, count }.contains_engine(backend);
         let groups: Vec<u32> = (0..count).filter(holds).collect();
         assert_eq!(groups.len(), 1, "{backend} of {count} groups");
         groups[0]
@@ -175,7 +175,9 @@
         for number in 0..count {
             let group = EngineGroup { number, count };
             let engines = directory.usable_in_group(&"pool".into(), group);
-            found.extend(engines.map(|engine| engine.id.clone()).inspect(|id| assert!(group.holds(id))));
+            found.extend(
+                engines.map(|engine| engine.id.clone()).inspect(|id| assert!(group.contains_engine(id))),
+            );
         }
         found.sort();
         found.dedup();
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -71,7 +71,7 @@
     }
     list(&directory, 3, names.iter().map(|name| backend(name, true)).collect());
     for name in names {
-        quarantine.note_ended(&BackendId::new(name));
+        quarantine.note_terminated(&BackendId::new(name));
     }
     assert_eq!(quarantine.book.suspects(), 0);
     assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -37,7 +37,7 @@
         let is_kept = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             one.running <= f64::from(SLOTS) * NORMAL_UTILIZATION.slots
-                && one.reading_share <= NORMAL_UTILIZATION.reading
+                && one.reading_share <= NORMAL_UTILIZATION.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -92,13 +92,13 @@
     for count in 1..=25 {
         assert_eq!(normal_utilization(count), NORMAL_UTILIZATION, "{count} back ends");
     }
-    let mut before = NORMAL_UTILIZATION.reading;
+    let mut before = NORMAL_UTILIZATION.prefill;
     for count in [30, 60, 100, 160, 1_000, 10_000] {
         let fullness = normal_utilization(count);
-        assert!(fullness.reading >= before && fullness.reading <= 0.6, "{fullness:?} of {count} back ends");
-        before = fullness.reading;
+        assert!(fullness.prefill >= before && fullness.prefill <= 0.6, "{fullness:?} of {count} back ends");
+        before = fullness.prefill;
         // What is left when every fifth is lost is less than full.
-        assert!(fullness.reading / 0.8 < 0.8, "{fullness:?} of {count} back ends");
+        assert!(fullness.prefill / 0.8 < 0.8, "{fullness:?} of {count} back ends");
     }
 }
 
@@ -113,7 +113,7 @@
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             let fullness = normal_utilization(count);
             one.running <= f64::from(SLOTS) * fullness.slots
-                && one.reading_share <= fullness.reading
+                && one.reading_share <= fullness.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -207,7 +207,7 @@
         let demands = beat::encode_demands(self.close_demand_period());
         self.refresh_models();
         self.note_silent_zones();
-        self.gateway.forwarder.quarantine.forget_old();
+        self.gateway.forwarder.quarantine.remove_expired();
         let (models, slowness) = self.own_observations();
         let whole = self.to_reply(tick.updates);
         let usage = if self.is_large() { self.usage_to_tell() } else { whole.usage };
--- a/crates/beamwall-node/src/tasks/quarantine.rs
+++ b/crates/beamwall-node/src/tasks/quarantine.rs
@@ -59,7 +59,7 @@
     }
 
     fn note_refused(&self, backend: &BackendId) {
-        self.quarantine.note_ended(backend);
+        self.quarantine.note_terminated(backend);
     }
 
     fn note_completed(&self, request: &Fingerprint) {
@@ -107,7 +107,7 @@
     shared.quarantine.kept.recall().await;
     loop {
         tokio::time::sleep(UPKEEP_PERIOD).await;
-        shared.quarantine.quarantine.forget_old();
+        shared.quarantine.quarantine.remove_expired();
         if shared.is_chosen(b"held-requests", 1) {
             shared.quarantine.kept.keep_due().await;
         }
