--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -19,7 +19,7 @@
 const MIN_STARTED_TIME: Duration = Duration::from_millis(8);
 
 /// Longest stall of this process during an attempt for which a timeout still counts against the back end.
-const MAX_TOLERATED_PAUSE: Duration = Duration::from_millis(100);
+const MAX_TOLERATED_STALL: Duration = Duration::from_millis(100);
 
 /// Whether a request that failed was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -140,7 +140,7 @@
     };
     // While this process was stalled, a response may have arrived without being read, so the timeout says
     // nothing about the back end.
-    let had_full_timeout = running::stood_still().saturating_sub(stood_still) < MAX_TOLERATED_PAUSE;
+    let had_full_timeout = running::stood_still().saturating_sub(stood_still) < MAX_TOLERATED_STALL;
     if !had_full_timeout && result.as_ref().is_err_and(|failure| failure.timed_out) {
         return result;
     }
--- a/crates/beamwall-gateway/src/directory.rs
+++ b/crates/beamwall-gateway/src/directory.rs
@@ -10,9 +10,9 @@
 //! therefore keyed by generation, and the list says which generation of an instance is the newest.
 //!
 //! While the store is unavailable, live back ends can't renew their entries, so the entries expire; they are
-//! listed again soon after the store recovers. Back ends that disappear then without having announced it are
-//! therefore used for a short time as expired. Expired back ends are not part of the revision and are not
-//! sent to peers.
+//! listed again soon after the store recovers. Back ends that disappear during that time without having
+//! announced it are therefore still used for a short time, marked as expired. Expired back ends are not part
+//! of the revision and are not sent to peers.
 //!
 //! A long list is read in pages. Until a starting node has read the whole list it uses the pages read so far;
 //! otherwise a fleet that starts all at once would serve no requests for seconds. A partial list is not part
--- a/crates/beamwall-gateway/src/scaling.rs
+++ b/crates/beamwall-gateway/src/scaling.rs
@@ -1,9 +1,9 @@
 //! Plans how many back ends each zone should have, as a function from inputs to capacity orders.
 //!
 //! Reclaimable back ends cost a fraction of the price of on-demand ones, but all of a zone's may be reclaimed
-//! at short notice, and for a while no new ones may be available. One on-demand back end is therefore kept
-//! over all zones, which continues to serve whatever is reclaimed, and the rest are reclaimable. Reclaimable
-//! back ends that are needed but not available are replaced by on-demand ones.
+//! at short notice, and for a while no new ones may be available. One on-demand back end in total is
+//! therefore kept, which keeps serving even if everything else is reclaimed, and the rest are reclaimable.
+//! Reclaimable back ends that are needed but not available are replaced by on-demand ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/beamwall-gateway/src/sizing.rs
+++ b/crates/beamwall-gateway/src/sizing.rs
@@ -26,8 +26,8 @@
     pub prefill: f64,
 }
 
-/// While reclaimable back ends are available and the number of back ends is small. Arrivals come in bursts,
-/// and a zone's back ends may all be lost at once.
+/// Maximum utilization while reclaimable back ends are available and there are few back ends. Arrivals come
+/// in bursts, and a zone's back ends may all be lost at once.
 pub const NORMAL_UTILIZATION: Utilization = Utilization { slots: 0.33, prefill: 0.33 };
 /// Back ends beyond the work, per unit of the square root of the work measured in busy back ends. The
 /// headroom that random arrivals require grows no faster (square-root staffing). With 6, the work of 100 back
@@ -36,9 +36,9 @@
 const HEADROOM_PER_ROOT: f64 = 6.0;
 /// Utilization that is never exceeded, regardless of the number of back ends.
 const MAX_NORMAL_UTILIZATION: f64 = 0.6;
-/// For on-demand substitutes of missing reclaimable back ends.
+/// Maximum utilization of on-demand substitutes for missing reclaimable back ends.
 pub const SUBSTITUTE_UTILIZATION: Utilization = Utilization { slots: 0.7, prefill: 0.7 };
-/// After the next loss of a zone's reclaimable back ends, while none are available.
+/// Maximum utilization after the next loss of a zone's reclaimable back ends, while none are available.
 pub const AFTER_LOSS_UTILIZATION: Utilization = Utilization { slots: 0.95, prefill: 0.85 };
 
 /// Normal utilization of `count` back ends; it increases with their number.
