--- a/crates/beamwall-gateway/src/ports.rs
+++ b/crates/beamwall-gateway/src/ports.rs
@@ -176,11 +176,11 @@
         }
         /// The store no longer has the history since the given revision; the list must be read again.
         HistoryGone {
-            display("the store no longer has the history since the watched revision")
+            display("the store has forgotten the revision to watch from")
         }
         /// The store's response could not be parsed.
         Unreadable(reason: String) {
-            display("could not parse the response of the store: {}", reason)
+            display("unreadable answer from the store: {}", reason)
         }
     }
 }
@@ -269,15 +269,15 @@
         /// The call was rejected because a holder with a higher epoch has already acted, so this node no
         /// longer holds the lease.
         Outdated {
-            display("a lease holder with a higher epoch has already acted")
+            display("a higher epoch has acted")
         }
         /// No capacity is available at present.
         Exhausted {
-            display("no capacity is available there now")
+            display("none can be had there now")
         }
         /// No response, or a temporary refusal; the call may still be carried out later.
         Unanswered(reason: String) {
-            display("no response: {}", reason)
+            display("no answer: {}", reason)
         }
     }
 }
