--- a/crates/beamwall-engine-model/src/statistics.rs
+++ b/crates/beamwall-engine-model/src/statistics.rs
@@ -1,106 +1,113 @@
-//! What was observed of the back ends of one service.
+//! Statistics of the back ends of one service.
 
 use crate::estimates::ServiceEstimates;
 use crate::regression::Regression;
 
-/// Tokens in the unit in which regressions count them, so that all features are about 1.
-const TOKENS: f64 = 1_000.0;
-/// The same for pairs of a prompt's token with one before it.
-const PAIRS: f64 = 1e8;
-/// Times below this are not measured more exactly by the network and the timers, in milliseconds.
-const LEAST_SPREAD_MS: f64 = 5.0;
-/// A sample this many deviations from what was expected counts less, in proportion: it waited for something that the
-/// features don't tell.
-const USUAL_DEVIATIONS: f64 = 1.5;
-/// Deviation, as a part of the expected time, that is assumed until one was observed.
-const ASSUMED_DEVIATION: f64 = 0.5;
-/// Samples from which expected times are given: enough to tell a loaded engine from an idle one.
-const TRUSTED_SAMPLES: f64 = 30.0;
-/// Samples from which the number of back ends is planned. The first to come after a start under load are the quick
-/// ones, and tell of engines that are faster than they are.
-const PLANNED_SAMPLES: f64 = 150.0;
-
-/// What of a prompt must be read.
+/// Unit of token counts in regression features, so that all features are about 1.
+const TOKEN_SCALE: f64 = 1_000.0;
+/// Unit of token pairs in regression features.
+const PAIR_SCALE: f64 = 1e8;
+/// Resolution of network and timer measurements, in milliseconds.
+const TIMING_RESOLUTION_MS: f64 = 5.0;
+/// Number of deviations from the estimate beyond which a sample's weight falls in proportion: it was delayed
+/// by a cause that the features don't cover.
+const OUTLIER_DEVIATIONS: f64 = 1.5;
+/// Relative deviation assumed before one is observed.
+const DEFAULT_DEVIATION: f64 = 0.5;
+/// Samples required for estimates: enough to distinguish a loaded engine from an idle one.
+const MIN_ESTIMATE_SAMPLES: f64 = 30.0;
+/// Samples required to compute the number of back ends. After a start under load, the fastest requests finish
+/// first and make engines look faster than they are.
+const MIN_SIZING_SAMPLES: f64 = 150.0;
+
+/// Prefill work of a prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reading {
-    /// Tokens that are not kept.
+pub struct PrefillWork {
+    /// Tokens that are not in the KV cache.
     pub tokens: u64,
-    /// Pairs of such a token with one before it: each token is compared with all before it, so the later ones of a
-    /// long prompt take longer.
+    /// Pairs of an uncached token with an earlier one: attention compares each token with all before it, so
+    /// the later tokens of a long prompt take longer.
     pub pairs: u64,
 }
 
-impl Reading {
-    /// Reading the rest of a prompt of which `kept` tokens are kept.
-    pub fn of_rest(kept: u64, unread: u64) -> Self {
-        Self { tokens: unread, pairs: unread * (kept + unread / 2) }
+impl PrefillWork {
+    /// Returns the prefill work of a prompt's `uncached` tokens that follow `cached` ones.
+    pub fn of_uncached(cached: u64, uncached: u64) -> Self {
+        Self { tokens: uncached, pairs: uncached * (cached + uncached / 2) }
     }
 }
 
-/// What the time to a request's first event depends on.
+/// Inputs of the model of the time to a request's first event.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct FirstEvent {
-    /// What of its prompt must be read.
-    pub reading: Reading,
-    /// Tokens of other prompts that are read before.
+pub struct FirstEventInputs {
+    /// Prefill work of the request's own prompt.
+    pub prefill: PrefillWork,
+    /// Tokens of other prompts that are queued for prefill before it.
     pub tokens_ahead: u64,
-    /// Requests that run beside it.
+    /// Number of requests that run concurrently.
     pub running: u32,
 }
 
-impl FirstEvent {
-    /// What the regression of the time to the first event is fitted to.
+impl FirstEventInputs {
+    /// Returns the regression features of the time to the first event.
     pub(crate) fn features(self) -> [f64; 5] {
         [
             1.0,
-            self.reading.tokens as f64 / TOKENS,
-            self.reading.pairs as f64 / PAIRS,
-            self.tokens_ahead as f64 / TOKENS,
+            self.prefill.tokens as f64 / TOKEN_SCALE,
+            self.prefill.pairs as f64 / PAIR_SCALE,
+            self.tokens_ahead as f64 / TOKEN_SCALE,
             f64::from(self.running),
         ]
     }
 }
 
-/// Sums over what a node observed of the back ends of one service. Sums of several nodes are added.
+/// Sums over the observations of one service's back ends. Sums of several nodes are additive.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceStatistics {
     /// Time to the first event, in milliseconds.
     pub(crate) first_event: Regression<5>,
-    /// Time between two events, in milliseconds, by the requests that run.
+    /// Time between two events, in milliseconds, by the number of running requests.
     pub(crate) event_gap: Regression<2>,
-    /// Time of a plain call, in milliseconds, by the requests that run.
+    /// Duration of a plain call, in milliseconds, by the number of running requests.
     pub(crate) plain_call: Regression<2>,
-    /// Time of a whole stream from its first event, in milliseconds.
+    /// Duration of a stream from its first event, in milliseconds.
     pub(crate) stream: Regression<1>,
 }
 
 impl ServiceStatistics {
-    /// Notes the time to a first event; `known` is what was expected of the service before.
-    pub fn note_first_event(&mut self, of: FirstEvent, took_ms: f64, known: &ServiceEstimates) {
-        let expected = known.first_event_ms(of);
-        let (variance, relevance) = variance_and_relevance(took_ms, expected, known.first_event_deviation());
-        self.first_event.add(of.features(), took_ms, variance, relevance);
+    /// Records the time to a first event; `estimates` are the previous estimates of the service.
+    pub fn record_first_event(
+        &mut self,
+        inputs: FirstEventInputs,
+        took_ms: f64,
+        estimates: &ServiceEstimates,
+    ) {
+        let expected = estimates.first_event_ms(inputs);
+        let (variance, robust_weight) =
+            variance_and_robust_weight(took_ms, expected, estimates.first_event_deviation());
+        self.first_event.add(inputs.features(), took_ms, variance, robust_weight);
     }
 
-    /// Notes the mean time between two events of a stream while `running` requests ran.
-    pub fn note_event_gap(&mut self, running: u32, took_ms: f64, known: &ServiceEstimates) {
-        let expected = known.event_gap_ms(running);
-        let (variance, relevance) = variance_and_relevance(took_ms, expected, known.event_gap_deviation());
-        self.event_gap.add([1.0, f64::from(running)], took_ms, variance, relevance);
+    /// Records the mean time between two events of a stream with `running` concurrent requests.
+    pub fn record_event_gap(&mut self, running: u32, took_ms: f64, estimates: &ServiceEstimates) {
+        let expected = estimates.event_gap_ms(running);
+        let (variance, robust_weight) =
+            variance_and_robust_weight(took_ms, expected, estimates.event_gap_deviation());
+        self.event_gap.add([1.0, f64::from(running)], took_ms, variance, robust_weight);
     }
 
-    /// Notes the time of a plain call beside `running` others.
-    pub fn note_plain_call(&mut self, running: u32, took_ms: f64) {
-        let (variance, relevance) = variance_and_relevance(took_ms, None, None);
-        self.plain_call.add([1.0, f64::from(running)], took_ms, variance, relevance);
+    /// Records the duration of a plain call beside `running` other requests.
+    pub fn record_plain_call(&mut self, running: u32, took_ms: f64) {
+        let (variance, robust_weight) = variance_and_robust_weight(took_ms, None, None);
+        self.plain_call.add([1.0, f64::from(running)], took_ms, variance, robust_weight);
     }
 
-    /// Notes the time of a whole stream from its first event.
-    pub fn note_stream(&mut self, took_ms: f64) {
+    /// Records the duration of a stream from its first event.
+    pub fn record_stream(&mut self, took_ms: f64) {
         self.stream.add([1.0], took_ms, 1.0, 1.0);
     }
 
-    /// Adds what another node observed.
+    /// Adds the sums of another node.
     pub fn merge(&mut self, other: &Self) {
         self.first_event.merge(&other.first_event);
         self.event_gap.merge(&other.event_gap);
@@ -108,7 +115,7 @@
         self.stream.merge(&other.stream);
     }
 
-    /// The same sums as if of at most so many samples, so that what is observed from now on soon outweighs them.
+    /// Scales the sums down to at most `samples` samples, so that new observations soon outweigh them.
     pub fn limited_to(self, samples: f64) -> Self {
         Self {
             first_event: self.first_event.limited_to(samples),
@@ -118,27 +125,28 @@
         }
     }
 
-    /// What the sums say.
+    /// Fits estimates to the sums.
     pub fn estimates(&self) -> ServiceEstimates {
         self.estimates_after(&ServiceEstimates::default())
     }
 
-    /// What the sums say, found the sooner the less it differs from what they said `before`.
-    pub fn estimates_after(&self, before: &ServiceEstimates) -> ServiceEstimates {
-        ServiceEstimates::new(self, before)
+    /// Fits estimates to the sums, starting from the `previous` ones; the fit converges faster the closer
+    /// they are.
+    pub fn estimates_after(&self, previous: &ServiceEstimates) -> ServiceEstimates {
+        ServiceEstimates::new(self, previous)
     }
 
-    /// The sums as a list of numbers, to be told to other nodes.
+    /// Encodes the sums as a list of numbers, to be sent to other nodes.
     pub fn to_numbers(&self) -> Vec<f64> {
         let models = self.first_event.to_numbers().into_iter().chain(self.event_gap.to_numbers());
         models.chain(self.plain_call.to_numbers()).chain(self.stream.to_numbers()).collect()
     }
 
-    /// The sums from such a list; `None` when it is not one.
+    /// Decodes the sums; `None` if the list is invalid.
     pub fn from_numbers(numbers: &[f64]) -> Option<Self> {
-        let (first_event, rest) = numbers.split_at_checked(Regression::<5>::numbers())?;
-        let (event_gap, rest) = rest.split_at_checked(Regression::<2>::numbers())?;
-        let (plain_call, stream) = rest.split_at_checked(Regression::<2>::numbers())?;
+        let (first_event, rest) = numbers.split_at_checked(Regression::<5>::encoded_len())?;
+        let (event_gap, rest) = rest.split_at_checked(Regression::<2>::encoded_len())?;
+        let (plain_call, stream) = rest.split_at_checked(Regression::<2>::encoded_len())?;
         Some(Self {
             first_event: Regression::from_numbers(first_event)?,
             event_gap: Regression::from_numbers(event_gap)?,
@@ -148,29 +156,30 @@
     }
 }
 
-/// The variance expected of a sample, and how much it says: errors are in proportion to the time expected, and an
-/// outlier says less.
-fn variance_and_relevance(took_ms: f64, expected_ms: Option<f64>, deviation: Option<f64>) -> (f64, f64) {
-    let scale = expected_ms.unwrap_or(took_ms) + LEAST_SPREAD_MS;
-    let relevance = expected_ms.map_or(1.0, |expected| {
-        let off = (took_ms - expected).abs() / scale;
-        let allowed = USUAL_DEVIATIONS * deviation.unwrap_or(ASSUMED_DEVIATION);
-        if off <= allowed { 1.0 } else { allowed / off }
+/// Returns a sample's expected variance and its robust weight: errors are proportional to the expected time,
+/// and an outlier has less weight.
+fn variance_and_robust_weight(took_ms: f64, expected_ms: Option<f64>, deviation: Option<f64>) -> (f64, f64) {
+    let scale = expected_ms.unwrap_or(took_ms) + TIMING_RESOLUTION_MS;
+    let robust_weight = expected_ms.map_or(1.0, |expected| {
+        let error = (took_ms - expected).abs() / scale;
+        let allowed = OUTLIER_DEVIATIONS * deviation.unwrap_or(DEFAULT_DEVIATION);
+        if error <= allowed { 1.0 } else { allowed / error }
     });
-    (scale * scale, relevance)
+    (scale * scale, robust_weight)
 }
 
-/// Whether there are enough samples for expected times.
-pub(crate) fn is_trusted(samples: f64) -> bool {
-    samples >= TRUSTED_SAMPLES
+/// Returns whether there are enough samples for estimates.
+pub(crate) fn is_enough_to_estimate(samples: f64) -> bool {
+    samples >= MIN_ESTIMATE_SAMPLES
 }
 
-/// Whether there are enough samples for a plan.
-pub(crate) fn is_enough_for_plan(samples: f64) -> bool {
-    samples >= PLANNED_SAMPLES
+/// Returns whether there are enough samples to compute the number of back ends.
+pub(crate) fn is_enough_to_size(samples: f64) -> bool {
+    samples >= MIN_SIZING_SAMPLES
 }
 
-/// Milliseconds a token and a pair of tokens, from the coefficients of the time to a first event.
-pub(crate) fn reading_ms(coefficients: &[f64; 5], reading: Reading) -> f64 {
-    coefficients[1] * reading.tokens as f64 / TOKENS + coefficients[2] * reading.pairs as f64 / PAIRS
+/// Returns the prefill time in milliseconds from the coefficients of the time to the first event.
+pub(crate) fn prefill_ms(coefficients: &[f64; 5], prefill: PrefillWork) -> f64 {
+    coefficients[1] * prefill.tokens as f64 / TOKEN_SCALE
+        + coefficients[2] * prefill.pairs as f64 / PAIR_SCALE
 }
