--- a/crates/beamwall-quarantine/tests/fingerprint.rs
+++ b/crates/beamwall-quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Two tries of a request have the same fingerprint, any two requests different ones.
+//! Attempts of the same request have equal fingerprints; different requests have different ones.
 
 use beamwall_quarantine::{Fingerprint, FingerprintHasher};
 
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_body_that_comes_in_other_parts_is_the_same() {
+fn the_fingerprint_does_not_depend_on_body_chunks_or_host_case() {
     let whole = fingerprint(Some("alder"), "a.example", "/chat/", &[b"one two"]);
     assert_eq!(fingerprint(Some("alder"), "a.example", "/chat/", &[b"one", b" ", b"two"]), whole);
     assert_eq!(fingerprint(Some("alder"), "A.Example", "/chat/", &[b"", b"one two"]), whole);
 }
 
 #[test]
-fn caller_host_path_query_and_body_all_count() {
+fn caller_host_path_query_and_body_change_the_fingerprint() {
     let all = [
         fingerprint(Some("alder"), "a.example", "/chat/", &[b"one"]),
         fingerprint(Some("birch"), "a.example", "/chat/", &[b"one"]),
@@ -26,7 +26,7 @@
         fingerprint(Some("alder"), "a.example", "/chat/?q=1", &[b"one"]),
         fingerprint(Some("alder"), "a.example", "/chat/", &[b"two"]),
         fingerprint(Some("alder"), "a.example", "/chat/", &[]),
-        // Bytes that move from one part to the next.
+        // The same bytes, split differently between adjacent parts.
         fingerprint(Some("aldera"), ".example", "/chat/", &[b"one"]),
         fingerprint(Some("alder"), "a.example", "/chat/o", &[b"ne"]),
     ];
