--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use beamwall_clock::running;
-use beamwall_engine_model::{EngineModels, Reading, ServiceEstimates};
+use beamwall_engine_model::{EngineModels, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
-use beamwall_rollout::{Side, VersionRule};
+use beamwall_rollout::{VersionChoice, VersionRule};
 use rand::seq::SliceRandom;
 use tokio::time::Instant;
 
@@ -90,7 +90,7 @@
         self.prefixes.retain(|backend| directory.get(backend).is_some());
         self.queues.retain(|backend| directory.get(backend).is_some());
         self.reports.retain(|backend| directory.get(backend).is_some());
-        self.models.retain(|backend| directory.get(backend).is_some());
+        self.models.retain_backends(|backend| directory.get(backend).is_some());
     }
 
     /// The candidates for a request, in random order so that candidates of equal cost share the load. If
@@ -123,7 +123,7 @@
                 reading: search
                     .prompt
                     .map(|prompt| self.reading(&backend.id, preferred_back_end, prompt, now)),
-                slowness: factors.of(&backend.id),
+                slowness: factors.for_backend(&backend.id),
                 health: self.health(backend, search.by, now),
             })
             .collect()
@@ -184,12 +184,12 @@
         preferred_back_end: Option<&BackendId>,
         prompt: &Prompt,
         now: Instant,
-    ) -> Reading {
+    ) -> PrefillWork {
         let kept = self.prefixes.estimated_cached_tokens(backend, prompt, now);
         let assumed =
             if preferred_back_end == Some(backend) { prefix_cache::shared_tokens(prompt) } else { 0 };
         let kept = kept.max(assumed).min(u64::from(prompt.prompt_tokens));
-        Reading::of_rest(kept, u64::from(prompt.prompt_tokens) - kept)
+        PrefillWork::of_uncached(kept, u64::from(prompt.prompt_tokens) - kept)
     }
 }
 
@@ -200,10 +200,10 @@
 ) -> Vec<&'a Backend> {
     let Some(rule) = versions else { return back_ends.collect() };
     let allowed: Vec<&Backend> = back_ends.filter(|backend| rule.allows(&backend.version)).collect();
-    if rule.side != Side::FewOfNew {
+    if rule.version_choice != VersionChoice::Canary {
         return allowed;
     }
     let ids: Vec<&BackendId> = allowed.iter().map(|backend| &backend.id).collect();
-    let in_use = rule.in_use(&ids);
+    let in_use = rule.active_back_ends(&ids);
     allowed.into_iter().filter(|backend| in_use.contains(&&backend.id)).collect()
 }
--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -6,7 +6,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ChoiceStrategy};
 
 use crate::health::HealthView;
@@ -40,7 +40,7 @@
     /// Open requests of all nodes at this back end.
     pub load: OpenLoad,
     /// Prefill work that the request's prompt would cause there; `None` for plain calls.
-    pub reading: Option<Reading>,
+    pub reading: Option<PrefillWork>,
     /// Factor by which it is slower than its service usually is.
     pub slowness: f64,
     /// Recent health.
@@ -49,9 +49,9 @@
 
 impl Candidate {
     /// Inputs of the model for the time to the first event at this back end.
-    fn first_event(&self, reading: Reading) -> FirstEvent {
+    fn first_event(&self, reading: PrefillWork) -> FirstEventInputs {
         let running = self.load.requests.min(self.slots);
-        FirstEvent { reading, tokens_ahead: self.load.prompt_tokens, running }
+        FirstEventInputs { prefill: reading, tokens_ahead: self.load.prompt_tokens, running }
     }
 
     /// Number of requests that would wait for a slot, including this one.
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -5,14 +5,14 @@
 
 use arc_swap::ArcSwap;
 use beamwall_clock::timers;
-use beamwall_engine_model::{Reading, ServiceEstimates};
+use beamwall_engine_model::{PrefillWork, ServiceEstimates};
 use beamwall_events::emit;
 use beamwall_events::internal_events::AttemptSent;
 use beamwall_http::Pool;
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use beamwall_policy::{Route, TenantRef};
 use beamwall_quarantine::{Admission, Fingerprint};
-use beamwall_rollout::{RolloutBook, Side, VersionRule};
+use beamwall_rollout::{RolloutRegistry, VersionChoice, VersionRule};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use tokio::time::Instant;
@@ -104,7 +104,7 @@
     /// Maximum number of back ends to which it may be sent.
     pub fn attempt_limit(&self) -> u32 {
         match self.admission {
-            Admission::Usual => self.route.attempt_limit.max(1),
+            Admission::Normal => self.route.attempt_limit.max(1),
             Admission::Trial => 1,
         }
     }
@@ -154,7 +154,7 @@
     /// Work requested by callers.
     pub demand: DemandTracker,
     /// Rollouts of new versions.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutRegistry,
     /// Requests suspected of terminating back ends.
     pub quarantine: Arc<Quarantine>,
     /// Retry budgets.
@@ -208,7 +208,7 @@
         avoided: &[BackendId],
         versions: Option<&VersionRule>,
     ) -> Option<Choice> {
-        if let Some(rule) = versions.filter(|rule| rule.side == Side::FewOfNew) {
+        if let Some(rule) = versions.filter(|rule| rule.version_choice == VersionChoice::Canary) {
             let chosen = self.choose_as_sender(call, avoided, Some(rule));
             let old = rule.without_new();
             return chosen.or_else(|| self.choose_as_sender(call, avoided, Some(&old)));
@@ -330,7 +330,7 @@
     pub fn place(&self, engine_query: &PlacementQuery) -> Option<Choice> {
         let now = Instant::now();
         self.backend_state.reports.note(&engine_query.sender, &engine_query.unreachable, now);
-        self.backend_state.models.hear_report(engine_query.observed.clone(), now);
+        self.backend_state.models.add_report(engine_query.observed.clone(), now);
         let avoided = [engine_query.tried.as_slice(), &engine_query.unreachable].concat();
         // Senders choose canary back ends themselves, so this applies to all other requests.
         let versions = self.rollouts.rule(&engine_query.service, None, beamwall_clock::now());
@@ -350,7 +350,7 @@
         if !is_placed {
             return Some(choice);
         }
-        if let Some(reading_ms) = estimates.reading_ms(choice.reading) {
+        if let Some(reading_ms) = estimates.prefill_ms(choice.reading) {
             self.backend_state.queues.add(&choice.backend, reading_ms, now);
         }
         self.backend_state.prefixes.note_prefill(&choice.backend, &engine_query.prompt, now);
@@ -416,8 +416,8 @@
     /// Time to prefill a call's whole prompt, if it has one and the service's model is trained.
     pub fn call_prefill_ms(&self, call: &Call) -> Option<f64> {
         let prompt = call.prompt.as_ref()?;
-        let whole = Reading::of_rest(0, u64::from(prompt.prompt_tokens));
-        self.estimates(&call.service).reading_ms(whole)
+        let whole = PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens));
+        self.estimates(&call.service).prefill_ms(whole)
     }
 
     /// Counts a request that a back end started to execute.
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use beamwall_engine_model::{FirstEvent, Reading, ToldSlowness};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, SlownessObservation};
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use tokio::time::Instant;
 
@@ -50,7 +50,7 @@
     /// Engines that the sender recently could not reach.
     pub unreachable: Vec<BackendId>,
     /// Slowness of single engines of the group that the sender observed and has not reported yet.
-    pub observed: Vec<(BackendId, ToldSlowness)>,
+    pub observed: Vec<(BackendId, SlownessObservation)>,
     /// Longest gap between two events at which the stream meets its objective.
     pub pause_objective_ms: Option<u64>,
     /// Time left until the caller's deadline.
@@ -83,7 +83,7 @@
     /// Factor by which it is slower than its service usually is; already included in the expected time.
     pub slowness: f64,
     /// Prefill work of the prompt.
-    pub reading: Reading,
+    pub reading: PrefillWork,
     /// Tokens of other prompts that it prefills first.
     pub tokens_ahead: u64,
     /// Open requests at the back end.
@@ -110,8 +110,12 @@
     }
 
     /// Inputs of the model for the time to the first event at this back end.
-    pub fn first_event(&self) -> FirstEvent {
-        FirstEvent { reading: self.reading, tokens_ahead: self.tokens_ahead, running: self.open_requests }
+    pub fn first_event(&self) -> FirstEventInputs {
+        FirstEventInputs {
+            prefill: self.reading,
+            tokens_ahead: self.tokens_ahead,
+            running: self.open_requests,
+        }
     }
 }
 
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -12,7 +12,7 @@
 use beamwall_events::internal_events::{BackendEnded, RequestFreed, RequestHeld, TrialGranted};
 use beamwall_http::{Pool, Reachability};
 use beamwall_model::BackendId;
-use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest, QuarantineBook, Standing};
+use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest, QuarantineRegistry, RequestStatus};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -66,7 +66,7 @@
 /// Quarantine of one node: holds requests suspected of terminating back ends.
 pub struct Quarantine {
     /// Suspects and held requests.
-    pub book: Arc<QuarantineBook>,
+    pub book: Arc<QuarantineRegistry>,
     /// Notified when this node has evidence that its peers should receive.
     pub peer_notify: Notify,
     lost_responses: LostResponses,
@@ -81,7 +81,7 @@
 impl Quarantine {
     /// Creates the quarantine of one node.
     pub fn new(
-        book: Arc<QuarantineBook>,
+        book: Arc<QuarantineRegistry>,
         pool: Pool,
         backends: Arc<dyn BackendLookup>,
         clock: Arc<FleetClock>,
@@ -101,12 +101,12 @@
     pub async fn admit(&self, request: &Fingerprint) -> Result<Admission, HeldRequest> {
         // Fast path for almost all requests: computing the fleet time takes longer than everything else here.
         if !self.is_held(request) {
-            return Ok(Admission::Usual);
+            return Ok(Admission::Normal);
         }
-        match self.book.standing(request, self.now_ms()) {
-            Standing::Free => Ok(Admission::Usual),
-            Standing::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
-            Standing::TrialDue { number, endings, is_in_doubt } => {
+        match self.book.request_status(request, self.now_ms()) {
+            RequestStatus::Free => Ok(Admission::Normal),
+            RequestStatus::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
+            RequestStatus::TrialDue { number, endings, is_in_doubt } => {
                 if self.try_claim_trial(request, number).await {
                     return Ok(Admission::Trial);
                 }
@@ -135,7 +135,7 @@
 
     /// Records that a back end completed a request and is therefore alive.
     pub fn note_completed(&self, request: &Fingerprint) {
-        if self.book.is_accused(request) && self.book.note_completion(request, self.now_ms()) {
+        if self.book.is_suspected(request) && self.book.note_completion(request, self.now_ms()) {
             self.publish_changes();
         }
     }
@@ -159,7 +159,7 @@
     /// termination, also waits until the probe of this back end has ended; otherwise the next back end would
     /// be sent the request in the meantime.
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
-        let is_accused = self.book.is_accused(&request);
+        let is_accused = self.book.is_suspected(&request);
         self.note_lost(request, backend);
         while is_accused && self.lost_responses.is_probed(backend) && !self.is_held(&request) {
             tokio::time::sleep(PROBE_POLL_INTERVAL).await;
@@ -187,7 +187,7 @@
             return;
         }
         if open.is_empty() {
-            self.book.note_other_end(backend, self.now_ms());
+            self.book.note_unattributed_termination(backend, self.now_ms());
         } else {
             self.record_termination(backend, open);
         }
@@ -207,7 +207,7 @@
     pub async fn next_unpublished(&self) -> Evidence {
         loop {
             self.peer_notify.notified().await;
-            let untold = self.book.take_untold();
+            let untold = self.book.take_unsent();
             if !untold.is_empty() {
                 return untold;
             }
@@ -216,21 +216,21 @@
 
     /// Merges evidence received from peers; returns the part that was new to this node.
     pub fn merge_evidence(&self, evidence: Evidence) -> Evidence {
-        let new = self.book.hear(evidence, self.now_ms());
+        let new = self.book.merge_evidence(evidence, self.now_ms());
         self.log_changes();
         new
     }
 
     /// Removes expired evidence.
     pub fn remove_expired(&self) {
-        self.book.forget_old(self.now_ms());
+        self.book.remove_expired(self.now_ms());
         self.log_changes();
     }
 
     fn record_termination(&self, backend: &BackendId, open: Vec<Fingerprint>) {
         let requests: Vec<String> = open.iter().map(Fingerprint::to_string).collect();
         emit(&BackendEnded { backend: backend.to_string(), open: requests.join(",") });
-        self.book.note_ending(backend, open, self.now_ms());
+        self.book.note_termination(backend, open, self.now_ms());
         self.publish_changes();
     }
 
--- a/crates/beamwall-gateway/src/sizing.rs
+++ b/crates/beamwall-gateway/src/sizing.rs
@@ -125,7 +125,7 @@
     let is_kept = |idle: f64, now: f64, objective: f64| idle > objective || now <= objective;
     let gap = |objective| is_kept(idle.event_gap_ms, occupancy.event_gap_ms, objective);
     occupancy.running <= f64::from(slots) * utilization.slots
-        && occupancy.reading_share <= utilization.prefill
+        && occupancy.prefill_share <= utilization.prefill
         && is_kept(idle.first_event_ms, occupancy.first_event_ms, objectives.first_event_ms)
         && objectives.pause_ms.is_none_or(gap)
 }
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -118,7 +118,7 @@
     let is_bad = status.is_server_error() || choice.is_slow(took_ms);
     forwarder.record_response(call, &choice.backend, is_bad);
     let models = &forwarder.backend_state.models;
-    models.note_plain_call(&call.service, &choice.backend, choice.open_requests, took_ms, Instant::now());
+    models.record_plain_call(&call.service, &choice.backend, choice.open_requests, took_ms, Instant::now());
 }
 
 fn is_retryable_failure(call: &Call, status: StatusCode) -> bool {
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -37,7 +37,7 @@
         let is_kept = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             one.running <= f64::from(SLOTS) * NORMAL_UTILIZATION.slots
-                && one.reading_share <= NORMAL_UTILIZATION.prefill
+                && one.prefill_share <= NORMAL_UTILIZATION.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -113,7 +113,7 @@
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             let fullness = normal_utilization(count);
             one.running <= f64::from(SLOTS) * fullness.slots
-                && one.reading_share <= fullness.prefill
+                && one.prefill_share <= fullness.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -226,7 +226,7 @@
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_work_of(&Reporter::Node(member.node.clone()));
             self.gateway.forwarder.usage.remove_node_counts(&member.node);
-            self.rollouts().forget_node(&member.node);
+            self.rollouts().remove_node_evidence(&member.node);
         }
     }
 
@@ -234,6 +234,6 @@
     pub(super) fn forget_work_of(&self, reporter: &Reporter) {
         self.gateway.forwarder.backend_state.loads.remove_peer(reporter);
         self.gateway.forwarder.demand.remove_peer(reporter);
-        self.gateway.forwarder.backend_state.models.forget_peer(reporter);
+        self.gateway.forwarder.backend_state.models.remove_peer(reporter);
     }
 }
--- /dev/null
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -0,0 +1,164 @@
+//! Decides which requests are held. The decision depends on the evidence alone, so nodes with the same
+//! evidence hold the same requests.
+//!
+//! Many requests are open when a back end terminates. Those that ran alongside the culprit are resent as
+//! the culprit is, so they may be open at the next termination, too. Therefore
+//!
+//! - a termination is explained by a request that was open at as many terminations and reached three of
+//!   them earlier, or was open at more of them and reached three no later; it does not count against the
+//!   other requests;
+//! - a request that shares all its terminations with another held request is held in doubt and retried
+//!   soon. All held requests are in doubt while most terminations are explained by no held request, for
+//!   example when machines are reclaimed one after another.
+//!
+//! A held request is not exposed to further terminations, while an innocent request that is resent is
+//! exposed to those of other culprits. A termination attributed to a held request is therefore not
+//! reattributed to a request that reached the threshold later. The first request to reach it may be an
+//! innocent one that ran alongside several culprits. It is released once each of its terminations is
+//! shared with a culprit that was also the only held request at other terminations, and is in doubt
+//! until then.
+
+use std::cmp::{Ordering, Reverse};
+use std::collections::{BTreeMap, HashMap, HashSet};
+
+use beamwall_model::{BackendId, to_ms};
+
+use crate::fingerprint::Fingerprint;
+use crate::limits::{TERMINATIONS_UNTIL_CLEAR, TERMINATIONS_UNTIL_HELD, TRIAL_DELAYS, TRIAL_DELAYS_IN_DOUBT};
+use crate::suspect::Suspect;
+
+/// Why and for how long a request is held.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct HoldState {
+    /// Number of terminations that count against the request.
+    pub endings: usize,
+    /// Whether another request, or another cause, may explain all of them.
+    pub is_in_doubt: bool,
+    /// Number of trials granted.
+    pub trials: u32,
+    /// When the next trial is due; `None` if there is no further trial.
+    pub next_trial_ms: Option<u64>,
+}
+
+/// A request with enough terminations to be held.
+struct Candidate<'a> {
+    request: Fingerprint,
+    suspect: &'a Suspect,
+    endings: HashSet<&'a BackendId>,
+    threshold_reached_ms: u64,
+}
+
+impl Candidate<'_> {
+    /// Whether this request explains terminations at which `other` was open, too.
+    fn takes_precedence_over(&self, other: &Candidate<'_>) -> bool {
+        match self.endings.len().cmp(&other.endings.len()) {
+            Ordering::Greater => self.threshold_reached_ms <= other.threshold_reached_ms,
+            Ordering::Equal => self.threshold_reached_ms < other.threshold_reached_ms,
+            Ordering::Less => false,
+        }
+    }
+
+    /// Number of its terminations at which none of `others` was open.
+    fn unshared_terminations(&self, others: &[&Candidate<'_>]) -> usize {
+        let is_shared = |backend: &BackendId| {
+            others.iter().any(|other| other.request != self.request && other.endings.contains(backend))
+        };
+        self.endings.iter().filter(|backend| !is_shared(backend)).count()
+    }
+
+    fn next_trial_ms(&self, is_in_doubt: bool) -> Option<u64> {
+        let delays = if is_in_doubt { TRIAL_DELAYS_IN_DOUBT } else { TRIAL_DELAYS };
+        let delay = delays.get(self.suspect.trials as usize)?;
+        Some(self.suspect.last_activity_ms().saturating_add(to_ms(*delay)))
+    }
+}
+
+/// Returns the requests to hold. `unattributed` lists further terminations, at which no known request
+/// was open.
+pub fn held_requests(
+    suspects: &BTreeMap<Fingerprint, Suspect>,
+    unattributed: &BTreeMap<BackendId, u64>,
+) -> HashMap<Fingerprint, HoldState> {
+    let times = termination_times(suspects);
+    let to_candidate = |(request, suspect)| candidate(request, suspect, &times);
+    let mut candidates: Vec<Candidate<'_>> = suspects.iter().filter_map(to_candidate).collect();
+    // Process the strongest candidates first, so that a request whose terminations are explained by
+    // others explains none itself.
+    candidates.sort_by_key(|one| (Reverse(one.endings.len()), one.threshold_reached_ms, one.request));
+    let mut confirmed: Vec<&Candidate<'_>> = Vec::new();
+    for candidate in &candidates {
+        let explains = |backend: &BackendId, other: &&Candidate<'_>| {
+            other.takes_precedence_over(candidate) && other.endings.contains(backend)
+        };
+        let is_unexplained = |backend: &&&BackendId| !confirmed.iter().any(|other| explains(backend, other));
+        if candidate.endings.iter().filter(is_unexplained).count() >= TERMINATIONS_UNTIL_HELD {
+            confirmed.push(candidate);
+        }
+    }
+    let confirmed = without_explained_by_others(&confirmed);
+    let has_other_causes = most_terminations_unexplained(suspects, unattributed, &confirmed);
+    confirmed.iter().map(|one| (one.request, hold_state(one, &confirmed, has_other_causes))).collect()
+}
+
+/// Removes requests whose terminations are all explained by requests with more terminations that are
+/// clear causes of terminations themselves.
+fn without_explained_by_others<'a>(confirmed: &[&'a Candidate<'a>]) -> Vec<&'a Candidate<'a>> {
+    let is_clear = |one: &&&Candidate<'_>| one.unshared_terminations(confirmed) >= TERMINATIONS_UNTIL_CLEAR;
+    let clear: Vec<&&Candidate<'_>> = confirmed.iter().filter(is_clear).collect();
+    let is_explained = |one: &Candidate<'_>| {
+        let stronger = || clear.iter().filter(|other| other.endings.len() > one.endings.len());
+        one.endings.iter().all(|backend| stronger().any(|other| other.endings.contains(backend)))
+    };
+    confirmed.iter().copied().filter(|one| !is_explained(one)).collect()
+}
+
+/// Whether no held request was open at most of the recorded terminations, so that back ends terminate
+/// for another reason.
+fn most_terminations_unexplained(
+    suspects: &BTreeMap<Fingerprint, Suspect>,
+    unattributed: &BTreeMap<BackendId, u64>,
+    confirmed: &[&Candidate<'_>],
+) -> bool {
+    if confirmed.is_empty() {
+        return false;
+    }
+    let under_suspects = suspects.values().flat_map(|suspect| suspect.endings.keys());
+    let all_terminated: HashSet<&BackendId> = under_suspects.chain(unattributed.keys()).collect();
+    let is_explained = |backend: &&&BackendId| confirmed.iter().any(|one| one.endings.contains(**backend));
+    let explained = all_terminated.iter().filter(is_explained).count();
+    all_terminated.len() - explained > explained
+}
+
+/// Returns the earliest observed time of each termination. Nodes observe the same termination some
+/// milliseconds apart, which must not decide which request reached the threshold first.
+fn termination_times(suspects: &BTreeMap<Fingerprint, Suspect>) -> HashMap<&BackendId, u64> {
+    let mut times = HashMap::new();
+    for (backend, at_ms) in suspects.values().flat_map(|suspect| &suspect.endings) {
+        let earliest = times.entry(backend).or_insert(*at_ms);
+        *earliest = (*earliest).min(*at_ms);
+    }
+    times
+}
+
+fn candidate<'a>(
+    request: &Fingerprint,
+    suspect: &'a Suspect,
+    times: &HashMap<&BackendId, u64>,
+) -> Option<Candidate<'a>> {
+    let endings: HashSet<&BackendId> = suspect.counted_terminations().map(|(backend, _)| backend).collect();
+    let mut ended_at_ms: Vec<u64> =
+        endings.iter().filter_map(|backend| times.get(backend)).copied().collect();
+    ended_at_ms.sort_unstable();
+    let threshold_reached_ms = *ended_at_ms.get(TERMINATIONS_UNTIL_HELD - 1)?;
+    Some(Candidate { request: *request, suspect, endings, threshold_reached_ms })
+}
+
+fn hold_state(one: &Candidate<'_>, confirmed: &[&Candidate<'_>], has_other_causes: bool) -> HoldState {
+    let is_in_doubt = has_other_causes || one.unshared_terminations(confirmed) == 0;
+    HoldState {
+        endings: one.endings.len(),
+        is_in_doubt,
+        trials: one.suspect.trials,
+        next_trial_ms: one.next_trial_ms(is_in_doubt),
+    }
+}
