--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -38,7 +38,12 @@
     directory.groups(&service()).expect("engines").in_order(prompt, 1)[0]
 }
 
-fn place(knowledge: &BackendState, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
+fn place(
+    backend_state: &BackendState,
+    directory: &Directory,
+    prompt: &Prompt,
+    group: EngineGroup,
+) -> BackendId {
     let service = service();
     let zone = "a".into();
     let by = ChosenBy::Placer;
@@ -51,8 +56,8 @@
         versions: None,
         by,
     };
-    let candidates = knowledge.candidates(directory, search);
-    let estimates = knowledge.models.estimates(&service);
+    let candidates = backend_state.candidates(directory, search);
+    let estimates = backend_state.models.estimates(&service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: Some(400) };
     choose(&candidates, &expectation).expect("the group has at least one engine").0.backend.clone()
 }
@@ -69,9 +74,9 @@
 #[divan::bench(args = ENGINES)]
 fn place_in_group(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
-    let knowledge = BackendState::default();
-    support::teach(&knowledge.models, support::observed());
+    let backend_state = BackendState::default();
+    support::teach(&backend_state.models, support::observed());
     let prompt = prompt();
     let group = first_group(&directory, &prompt);
-    bencher.bench(|| place(&knowledge, &directory, &prompt, group));
+    bencher.bench(|| place(&backend_state, &directory, &prompt, group));
 }
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -122,7 +122,7 @@
                 load: self.load(&backend.id, search.by, &estimates, now),
                 reading: search
                     .prompt
-                    .map(|prompt| self.reading(&backend.id, preferred_back_end, prompt, now)),
+                    .map(|prompt| self.prefill_work(&backend.id, preferred_back_end, prompt, now)),
                 slowness: factors.for_backend(&backend.id),
                 health: self.health(backend, search.by, now),
             })
@@ -178,18 +178,18 @@
         }
     }
 
-    fn reading(
+    fn prefill_work(
         &self,
         backend: &BackendId,
         preferred_back_end: Option<&BackendId>,
         prompt: &Prompt,
         now: Instant,
     ) -> PrefillWork {
-        let kept = self.prefixes.estimated_cached_tokens(backend, prompt, now);
+        let cached = self.prefixes.estimated_cached_tokens(backend, prompt, now);
         let assumed =
             if preferred_back_end == Some(backend) { prefix_cache::shared_tokens(prompt) } else { 0 };
-        let kept = kept.max(assumed).min(u64::from(prompt.prompt_tokens));
-        PrefillWork::of_uncached(kept, u64::from(prompt.prompt_tokens) - kept)
+        let cached = cached.max(assumed).min(u64::from(prompt.prompt_tokens));
+        PrefillWork::of_uncached(cached, u64::from(prompt.prompt_tokens) - cached)
     }
 }
 
--- a/crates/beamwall-gateway/src/demand.rs
+++ b/crates/beamwall-gateway/src/demand.rs
@@ -47,11 +47,11 @@
     }
 
     /// Records a request that arrived on a route.
-    pub fn note_request(&self, service: &ServiceName, route: &str, reading: PrefillWork) {
+    pub fn note_request(&self, service: &ServiceName, route: &str, prefill: PrefillWork) {
         let mut state = self.lock();
         let events = state.events_by_route.get(route).copied().unwrap_or(DEFAULT_EVENTS_PER_STREAM);
         state.own.entry(service.clone()).or_default().pending +=
-            Workload { requests: 1.0, tokens: reading.tokens as f64, pairs: reading.pairs as f64, events };
+            Workload { requests: 1.0, tokens: prefill.tokens as f64, pairs: prefill.pairs as f64, events };
     }
 
     /// Records the number of events of a finished stream.
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -350,8 +350,8 @@
         if !is_placed {
             return Some(choice);
         }
-        if let Some(reading_ms) = estimates.prefill_ms(choice.reading) {
-            self.backend_state.queues.add(&choice.backend, reading_ms, now);
+        if let Some(prefill_ms) = estimates.prefill_ms(choice.reading) {
+            self.backend_state.queues.add(&choice.backend, prefill_ms, now);
         }
         self.backend_state.prefixes.note_prefill(&choice.backend, &engine_query.prompt, now);
         Some(choice)
--- a/crates/beamwall-gateway/src/load.rs
+++ b/crates/beamwall-gateway/src/load.rs
@@ -74,7 +74,12 @@
         let mut state = self.lock();
         let load = state.own.entry(backend.clone()).or_default();
         *load += OpenLoad { requests: 1, prompt_tokens };
-        OpenRequestGuard { book: self.clone(), backend: backend.clone(), prompt_tokens, is_responding: false }
+        OpenRequestGuard {
+            tracker: self.clone(),
+            backend: backend.clone(),
+            prompt_tokens,
+            is_responding: false,
+        }
     }
 
     /// Open requests of this node to which a back end has begun to respond.
@@ -133,7 +138,7 @@
 /// Guard that counts one open request at a back end until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
-    book: Arc<LoadTracker>,
+    tracker: Arc<LoadTracker>,
     backend: BackendId,
     prompt_tokens: u64,
     is_responding: bool,
@@ -142,8 +147,8 @@
 impl OpenRequestGuard {
     /// Records that the back end has prefilled the prompt and begun to respond.
     pub fn start_response(&mut self) {
-        let book = self.book.clone();
-        let mut state = book.lock();
+        let tracker = self.tracker.clone();
+        let mut state = tracker.lock();
         self.clear_prompt_tokens(&mut state);
         if !std::mem::replace(&mut self.is_responding, true) {
             *state.responding.entry(self.backend.clone()).or_default() += 1;
@@ -151,17 +156,17 @@
     }
 
     fn clear_prompt_tokens(&mut self, state: &mut State) {
-        let read = std::mem::take(&mut self.prompt_tokens);
+        let prefilled = std::mem::take(&mut self.prompt_tokens);
         if let Some(load) = state.own.get_mut(&self.backend) {
-            load.prompt_tokens = load.prompt_tokens.saturating_sub(read);
+            load.prompt_tokens = load.prompt_tokens.saturating_sub(prefilled);
         }
     }
 }
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        let book = self.book.clone();
-        let mut state = book.lock();
+        let tracker = self.tracker.clone();
+        let mut state = tracker.lock();
         self.clear_prompt_tokens(&mut state);
         if self.is_responding {
             decrement(&mut state.responding, &self.backend);
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -176,11 +176,11 @@
 
     /// Records a placed prompt that takes `prefill_ms` to prefill.
     pub fn add(&self, backend: &BackendId, prefill_ms: f64, now: Instant) {
-        let reading = Duration::from_secs_f64(prefill_ms.max(0.0) / 1_000.0);
+        let prefill_time = Duration::from_secs_f64(prefill_ms.max(0.0) / 1_000.0);
         let mut queues = self.lock();
         let empty_queue = || PrefillQueue { end: now, placed: VecDeque::new() };
         let queue = queues.entry(backend.clone()).or_insert_with(empty_queue);
-        queue.end = queue.end.max(now) + reading;
+        queue.end = queue.end.max(now) + prefill_time;
         queue.placed.retain(|placed| now.saturating_duration_since(*placed) < REPORT_DELAY);
         queue.placed.push_back(now);
     }
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -1,5 +1,5 @@
 //! Handles requests suspected of terminating back ends: probes whether a back end whose response was lost has
-//! terminated, and admits or holds requests according to the [`QuarantineBook`].
+//! terminated, and admits or holds requests according to the [`QuarantineRegistry`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -159,9 +159,9 @@
     /// termination, also waits until the probe of this back end has ended; otherwise the next back end would
     /// be sent the request in the meantime.
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
-        let is_accused = self.book.is_suspected(&request);
+        let was_suspected = self.book.is_suspected(&request);
         self.note_lost(request, backend);
-        while is_accused && self.lost_responses.is_probed(backend) && !self.is_held(&request) {
+        while was_suspected && self.lost_responses.is_probed(backend) && !self.is_held(&request) {
             tokio::time::sleep(PROBE_POLL_INTERVAL).await;
         }
     }
@@ -207,9 +207,9 @@
     pub async fn next_unpublished(&self) -> Evidence {
         loop {
             self.peer_notify.notified().await;
-            let untold = self.book.take_unsent();
-            if !untold.is_empty() {
-                return untold;
+            let unsent = self.book.take_unsent();
+            if !unsent.is_empty() {
+                return unsent;
             }
         }
     }
