--- a/crates/beamwall-gateway/src/quota/mod.rs
+++ b/crates/beamwall-gateway/src/quota/mod.rs
@@ -17,7 +17,7 @@
 //! arrive later. Then what a whole zone lets pass in that time is bounded by the zone's part as well.
 
 mod account;
-mod told;
+mod reports;
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -29,58 +29,58 @@
 use tokio::sync::futures::Notified;
 use tokio::time::Instant;
 
-use account::{Account, KEPT_FOR, Refill};
-use told::{NodeUse, ZoneUse};
+use account::{Account, HISTORY_TIME, Refill};
+use reports::{NodeReports, ZoneReports};
 
 /// Longest time that a refused caller is told to wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(4);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 /// Least wait of a caller refused because others don't know yet what passed here. The nodes of the largest zone
 /// that all tell each other are told within it.
-const TELLING_WAIT: Duration = Duration::from_millis(300);
+const MIN_REPORT_WAIT: Duration = Duration::from_millis(300);
 /// Part of the burst below which a node tells the others at once what it lets pass.
-const LOW_LEVEL: f64 = 0.5;
+const URGENT_LEVEL_FRACTION: f64 = 0.5;
 
 /// The nodes among which quotas are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sharing {
+pub struct QuotaMembership {
     /// Nodes that hear each other, this one included.
-    pub heard: usize,
+    pub reachable: usize,
     /// Nodes that are known, silent ones included.
     pub known: usize,
     /// Those heard whose work is learnt at once: all in a small deployment, the zone's in a large one.
-    pub close: usize,
+    pub direct: usize,
 }
 
-impl Sharing {
+impl QuotaMembership {
     /// A deployment all of whose nodes tell each other.
-    pub fn small(heard: usize, known: usize) -> Self {
-        Self { heard, known, close: heard }
+    pub fn full_mesh(reachable: usize, known: usize) -> Self {
+        Self { reachable, known, direct: reachable }
     }
 
     /// The part of the whole that the nodes told at once may use before the others know.
-    fn zone_part(self) -> f64 {
-        self.close.max(1) as f64 / self.heard.max(1) as f64
+    fn direct_fraction(self) -> f64 {
+        self.direct.max(1) as f64 / self.reachable.max(1) as f64
     }
 
-    fn part(self) -> f64 {
+    fn reachable_fraction(self) -> f64 {
         let known = self.known.max(1) as f64;
-        (self.heard.max(1) as f64 / known).min(1.0)
+        (self.reachable.max(1) as f64 / known).min(1.0)
     }
 }
 
 #[derive(Debug)]
 struct State {
     accounts: HashMap<TenantName, Account>,
-    nodes: HashMap<NodeId, NodeUse>,
-    zones: HashMap<ZoneName, ZoneUse>,
-    sharing: Sharing,
+    nodes: HashMap<NodeId, NodeReports>,
+    zones: HashMap<ZoneName, ZoneReports>,
+    membership: QuotaMembership,
 }
 
 /// What is tolerated beyond every quota, as a share of what a tenant may let pass in one window of time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tolerance {
     /// Share that is used all the time.
-    pub usual: f64,
+    pub sustained: f64,
     /// Share that may be used in any one window.
     pub in_window: f64,
     /// Share that nodes which start may use in all: their accounts don't know what passed before.
@@ -92,17 +92,17 @@
 impl Tolerance {
     /// The rate at which accounts are refilled, in work a second.
     fn rate(self, tenant: &Tenant) -> f64 {
-        tenant.rate_per_second * (1.0 + self.usual)
+        tenant.rate_per_second * (1.0 + self.sustained)
     }
 
     /// The most that an account holds.
     fn burst(self, tenant: &Tenant) -> f64 {
-        tenant.burst * (1.0 + self.usual)
+        tenant.burst * (1.0 + self.sustained)
     }
 
     /// Whether it is known what passed in the window of quotas, where they have one.
-    fn knows_window(self) -> bool {
-        !self.window.is_zero() && self.window <= KEPT_FOR
+    fn covers_window(self) -> bool {
+        !self.window.is_zero() && self.window <= HISTORY_TIME
     }
 
     /// Work that the quota itself lets pass in one window.
@@ -111,27 +111,27 @@
     }
 
     /// Work that may pass in one window.
-    fn in_window(self, tenant: &Tenant) -> f64 {
+    fn limit_in_window(self, tenant: &Tenant) -> f64 {
         self.quota_in_window(tenant) * (1.0 + self.in_window)
     }
 
     /// The level with which the account of one of `nodes` begins.
     fn first_level(self, tenant: &Tenant, nodes: usize) -> f64 {
-        let of_each = self.quota_in_window(tenant) * self.at_start / nodes.max(1) as f64;
-        of_each.min(self.burst(tenant))
+        let per_node = self.quota_in_window(tenant) * self.at_start / nodes.max(1) as f64;
+        per_node.min(self.burst(tenant))
     }
 }
 
 /// The tenants' accounts at this node.
 #[derive(Debug)]
-pub struct QuotaBook {
+pub struct QuotaLimiter {
     tolerance: Tolerance,
     /// Work beyond a quota that is tolerated in one window, over all nodes.
     slack: f64,
     /// Number of this node's own life; lives of all nodes are numbered by their start.
-    life: u64,
+    generation: u64,
     /// Told when this node has told the others what it let pass.
-    told: Notify,
+    reported: Notify,
     state: Mutex<State>,
 }
 
@@ -156,31 +156,31 @@
     /// Work that was asked for.
     pub amount: f64,
     /// The nodes among which the quota was divided.
-    pub sharing: Sharing,
+    pub membership: QuotaMembership,
     /// Whether it would fit once the others have been told what passed here before.
-    pub fits_when_told: bool,
+    pub fits_after_report: bool,
 }
 
-impl QuotaBook {
+impl QuotaLimiter {
     /// Accounts of a node that assumes to be one of `expected_nodes` until it hears of others.
     pub fn new(slack: f64, expected_nodes: usize) -> Self {
         let state = State {
             accounts: HashMap::new(),
             nodes: HashMap::new(),
             zones: HashMap::new(),
-            sharing: Sharing::small(1, expected_nodes.max(1)),
+            membership: QuotaMembership::full_mesh(1, expected_nodes.max(1)),
         };
         Self {
             slack,
             tolerance: Tolerance::default(),
-            life: u64::MAX,
-            told: Notify::new(),
+            generation: u64::MAX,
+            reported: Notify::new(),
             state: Mutex::new(state),
         }
     }
 
     /// The same accounts of a node that uses what is tolerated.
-    pub fn tolerating(mut self, tolerance: Tolerance) -> Self {
+    pub fn with_tolerance(mut self, tolerance: Tolerance) -> Self {
         self.tolerance = tolerance;
         self
     }
@@ -190,20 +190,21 @@
         &self,
         accounts: &'a mut HashMap<TenantName, Account>,
         tenant: &Tenant,
-        sharing: Sharing,
+        membership: QuotaMembership,
         now: Instant,
     ) -> &'a mut Account {
         let rate = self.tolerance.rate(tenant);
-        let refill = Refill { rate, part: sharing.part(), burst: self.tolerance.burst(tenant) };
-        let open = || Account::new(self.tolerance.first_level(tenant, sharing.known), refill, now);
-        let account = accounts.entry(tenant.name.clone()).or_insert_with(open);
-        account.refill_by(refill, now);
+        let refill =
+            Refill { rate, fraction: membership.reachable_fraction(), burst: self.tolerance.burst(tenant) };
+        let new_account = || Account::new(self.tolerance.first_level(tenant, membership.known), refill, now);
+        let account = accounts.entry(tenant.name.clone()).or_insert_with(new_account);
+        account.set_refill(refill, now);
         account
     }
 
     /// The same accounts of a node whose life has this number.
-    pub fn started_at(mut self, life: u64) -> Self {
-        self.life = life;
+    pub fn with_generation(mut self, generation: u64) -> Self {
+        self.generation = generation;
         self
     }
 
@@ -222,39 +223,44 @@
             return Ok(None);
         }
         let mut state = self.lock();
-        let sharing = state.sharing;
-        let slack_part = self.slack / sharing.known.max(1) as f64;
-        let account = self.account(&mut state.accounts, tenant, sharing, now);
-        let part_of_level = account.level.max(0.0) / sharing.heard.max(1) as f64;
-        let needed = amount.min(self.tolerance.burst(tenant) + slack_part);
-        let fits_level = account.level + slack_part >= needed;
-        let fits_part = account.untold <= 0.0 || account.untold + amount <= part_of_level + slack_part;
-        let fits_zone = account.fits_zone_part(amount, sharing, now);
-        let allowance = self.tolerance.in_window(tenant) * sharing.part() + self.slack;
-        let is_ample =
-            self.tolerance.knows_window() && account.is_ample(amount, allowance, self.tolerance.window, now);
-        if !(is_ample || fits_level && fits_part && fits_zone) {
-            let missing = (needed - slack_part - account.level).max(0.0);
-            let rate = (self.tolerance.rate(tenant) * sharing.part()).max(1.0);
-            let refilled = Duration::from_secs_f64((missing / rate).min(LONGEST_WAIT.as_secs_f64()));
-            let wait = if fits_part && fits_zone { refilled } else { refilled.max(TELLING_WAIT) };
+        let membership = state.membership;
+        let slack_share = self.slack / membership.known.max(1) as f64;
+        let account = self.account(&mut state.accounts, tenant, membership, now);
+        let level_share = account.level.max(0.0) / membership.reachable.max(1) as f64;
+        let needed = amount.min(self.tolerance.burst(tenant) + slack_share);
+        let fits_level = account.level + slack_share >= needed;
+        let fits_node_share =
+            account.unreported <= 0.0 || account.unreported + amount <= level_share + slack_share;
+        let fits_zone_share = account.fits_direct_share(amount, membership, now);
+        let allowance = self.tolerance.limit_in_window(tenant) * membership.reachable_fraction() + self.slack;
+        let fits_allowance = self.tolerance.covers_window()
+            && account.fits_allowance(amount, allowance, self.tolerance.window, now);
+        if !(fits_allowance || fits_level && fits_node_share && fits_zone_share) {
+            let deficit = (needed - slack_share - account.level).max(0.0);
+            let rate = (self.tolerance.rate(tenant) * membership.reachable_fraction()).max(1.0);
+            let refill_time = Duration::from_secs_f64((deficit / rate).min(MAX_RETRY_AFTER.as_secs_f64()));
+            let wait = if fits_node_share && fits_zone_share {
+                refill_time
+            } else {
+                refill_time.max(MIN_REPORT_WAIT)
+            };
             return Err(QuotaExceeded {
                 retry_after: wait,
                 level: account.level,
                 amount,
-                sharing,
-                fits_when_told: fits_level && fits_zone,
+                membership,
+                fits_after_report: fits_level && fits_zone_share,
             });
         }
-        account.pass(amount, now);
-        let is_urgent = account.level < tenant.burst * LOW_LEVEL;
+        account.admit_work(amount, now);
+        let is_urgent = account.level < tenant.burst * URGENT_LEVEL_FRACTION;
         Ok(Some(Charge { tenant: tenant.name.clone(), amount, is_urgent }))
     }
 
     /// Gives back work that did not run.
     pub fn refund(&self, charge: &Charge) {
         if let Some(account) = self.lock().accounts.get_mut(&charge.tenant) {
-            account.give_back(charge.amount);
+            account.restore(charge.amount);
         }
     }
 
@@ -264,79 +270,90 @@
     }
 
     /// The nodes among which quotas are divided.
-    pub fn sharing(&self) -> Sharing {
-        self.lock().sharing
+    pub fn membership(&self) -> QuotaMembership {
+        self.lock().membership
     }
 
     /// What this node has let pass since its start, to be told to the others now.
-    pub fn tell(&self) -> Vec<(TenantName, f64)> {
+    pub fn take_report(&self) -> Vec<(TenantName, f64)> {
         let mut state = self.lock();
-        let told = |(tenant, account): (&TenantName, &mut Account)| {
-            account.untold = 0.0;
-            (tenant.clone(), account.passed)
+        let totals_of = |(tenant, account): (&TenantName, &mut Account)| {
+            account.unreported = 0.0;
+            (tenant.clone(), account.admitted)
         };
-        let uses = state.accounts.iter_mut().map(told).collect();
-        self.told.notify_waiters();
+        let uses = state.accounts.iter_mut().map(totals_of).collect();
+        self.reported.notify_waiters();
         uses
     }
 
     /// Waits for the next [`Self::tell`], also if it comes before the wait is begun.
-    pub fn next_telling(&self) -> Notified<'_> {
-        self.told.notified()
+    pub fn next_report(&self) -> Notified<'_> {
+        self.reported.notified()
     }
 
     /// What all nodes that tell their own have let pass since this node's start, to be told to other zones.
     pub fn sum_of_nodes(&self) -> Vec<(TenantName, f64)> {
         let state = self.lock();
-        state.accounts.iter().map(|(tenant, account)| (tenant.clone(), account.passed_by_nodes)).collect()
+        state.accounts.iter().map(|(tenant, account)| (tenant.clone(), account.admitted_by_nodes)).collect()
     }
 
     /// Takes what a peer told of one of its lives. What a peer that started earlier had let pass before
     /// its first telling is not held against this node's level, which began without it.
-    pub fn hear(&self, node: &NodeId, life: u64, passed: HashMap<TenantName, f64>, now: Instant) {
+    pub fn merge_node_usage(
+        &self,
+        node: &NodeId,
+        generation: u64,
+        totals: HashMap<TenantName, f64>,
+        now: Instant,
+    ) {
         let mut state = self.lock();
         let State { accounts, nodes, .. } = &mut *state;
-        let is_younger = life > self.life;
+        let started_later = generation > self.generation;
         let node = nodes.entry(node.clone()).or_default();
         let was_silent = node.was_silent(now);
-        for (tenant, amount) in node.take(life, passed, is_younger, now) {
+        for (tenant, amount) in node.update_totals(generation, totals, started_later, now) {
             let Some(account) = accounts.get_mut(&tenant) else { continue };
-            account.refill_before_telling(now);
+            account.refill_before_report(now);
             if was_silent {
-                account.take_off_after_silence(amount, now);
+                account.debit_after_silence(amount, now);
             } else {
-                account.take_off_by_node(amount, now);
+                account.debit_node(amount, now);
             }
         }
     }
 
     /// Takes what a relay told of all nodes of its zone.
-    pub fn hear_zone(
+    pub fn merge_zone_usage(
         &self,
         zone: &ZoneName,
         relay: &NodeId,
-        life: u64,
-        passed: HashMap<TenantName, f64>,
+        generation: u64,
+        totals: HashMap<TenantName, f64>,
         now: Instant,
     ) {
         let mut state = self.lock();
         let State { accounts, zones, .. } = &mut *state;
         let zone = zones.entry(zone.clone()).or_default();
         let was_silent = zone.was_silent(now);
-        for (tenant, amount) in zone.take(relay, life, passed, now) {
+        for (tenant, amount) in zone.update_totals(relay, generation, totals, now) {
             let Some(account) = accounts.get_mut(&tenant) else { continue };
-            account.refill_before_telling(now);
-            account.take_off_by_zone(amount, was_silent, now);
+            account.refill_before_report(now);
+            account.debit_zone(amount, was_silent, now);
         }
     }
 
     /// Sets the nodes among which quotas are divided, and opens the accounts of all tenants, so that
     /// what peers tell is held against them from now on.
-    pub fn share<'a>(&self, sharing: Sharing, tenants: impl IntoIterator<Item = &'a Tenant>, now: Instant) {
+    pub fn set_membership<'a>(
+        &self,
+        membership: QuotaMembership,
+        tenants: impl IntoIterator<Item = &'a Tenant>,
+        now: Instant,
+    ) {
         let mut state = self.lock();
-        state.sharing = sharing;
+        state.membership = membership;
         for tenant in tenants.into_iter().filter(|tenant| tenant.rate_per_second > 0.0) {
-            self.account(&mut state.accounts, tenant, sharing, now);
+            self.account(&mut state.accounts, tenant, membership, now);
         }
     }
 }
--- a/crates/beamwall-gateway/src/quota/told.rs
+++ b/crates/beamwall-gateway/src/quota/reports.rs
@@ -13,43 +13,43 @@
 
 /// What one node told last.
 #[derive(Debug, Default)]
-pub(super) struct NodeUse {
-    told: Option<Instant>,
-    life: u64,
-    passed: HashMap<TenantName, f64>,
+pub(super) struct NodeReports {
+    last_report: Option<Instant>,
+    generation: u64,
+    admitted: HashMap<TenantName, f64>,
 }
 
-impl NodeUse {
+impl NodeReports {
     /// Whether the node had told nothing for a while, or ever.
     pub(super) fn was_silent(&self, now: Instant) -> bool {
-        is_silent(self.told, NODE_SILENT_AFTER, now)
+        is_silent(self.last_report, NODE_SILENT_AFTER, now)
     }
 
     /// Takes the totals of one life of the node; gives what is new in them. What a life had let pass before
     /// its first telling is new only where `counts_from_start`.
-    pub(super) fn take(
+    pub(super) fn update_totals(
         &mut self,
-        life: u64,
+        generation: u64,
         totals: HashMap<TenantName, f64>,
         counts_from_start: bool,
         now: Instant,
     ) -> Vec<(TenantName, f64)> {
-        if life < self.life {
+        if generation < self.generation {
             return Vec::new();
         }
-        if life > self.life {
-            *self = Self { told: None, life, passed: HashMap::new() };
+        if generation > self.generation {
+            *self = Self { last_report: None, generation, admitted: HashMap::new() };
         }
         if !totals.is_empty() {
-            self.told = Some(now);
+            self.last_report = Some(now);
         }
-        let mut new = Vec::new();
+        let mut increments = Vec::new();
         for (tenant, total) in totals {
-            let unknown_before = if counts_from_start { 0.0 } else { total };
-            let before = self.passed.insert(tenant.clone(), total).unwrap_or(unknown_before);
-            new.push((tenant, total - before));
+            let first_baseline = if counts_from_start { 0.0 } else { total };
+            let previous = self.admitted.insert(tenant.clone(), total).unwrap_or(first_baseline);
+            increments.push((tenant, total - previous));
         }
-        new
+        increments
     }
 }
 
@@ -57,55 +57,55 @@
 /// one's totals are shifted to where the zone stood when it was first heard; the largest shifted total
 /// is what the zone let pass.
 #[derive(Debug, Default)]
-pub(super) struct ZoneUse {
-    told: Option<Instant>,
-    passed: HashMap<TenantName, f64>,
-    relays: HashMap<NodeId, RelayShifts>,
+pub(super) struct ZoneReports {
+    last_report: Option<Instant>,
+    admitted: HashMap<TenantName, f64>,
+    relays: HashMap<NodeId, RelayOffsets>,
 }
 
 /// The shifts of one life of a relay.
 #[derive(Debug, Default)]
-struct RelayShifts {
-    life: u64,
+struct RelayOffsets {
+    generation: u64,
     by_tenant: HashMap<TenantName, f64>,
 }
 
-impl ZoneUse {
+impl ZoneReports {
     /// Whether the zone's relays had told nothing for a while, or ever.
     pub(super) fn was_silent(&self, now: Instant) -> bool {
-        is_silent(self.told, ZONE_SILENT_AFTER, now)
+        is_silent(self.last_report, ZONE_SILENT_AFTER, now)
     }
 
     /// Takes the totals that one life of a relay told; gives what is new in them.
-    pub(super) fn take(
+    pub(super) fn update_totals(
         &mut self,
         relay: &NodeId,
-        life: u64,
+        generation: u64,
         totals: HashMap<TenantName, f64>,
         now: Instant,
     ) -> Vec<(TenantName, f64)> {
         if !totals.is_empty() {
-            self.told = Some(now);
+            self.last_report = Some(now);
         }
-        let shifts = self.relays.entry(relay.clone()).or_default();
-        if life < shifts.life {
+        let offsets = self.relays.entry(relay.clone()).or_default();
+        if generation < offsets.generation {
             return Vec::new();
         }
-        if life > shifts.life {
-            *shifts = RelayShifts { life, by_tenant: HashMap::new() };
+        if generation > offsets.generation {
+            *offsets = RelayOffsets { generation, by_tenant: HashMap::new() };
         }
-        let mut new = Vec::new();
+        let mut increments = Vec::new();
         for (tenant, total) in totals {
-            let passed = self.passed.entry(tenant.clone()).or_default();
-            let shift = *shifts.by_tenant.entry(tenant.clone()).or_insert(*passed - total);
-            let gained = (total + shift - *passed).max(0.0);
-            *passed += gained;
-            new.push((tenant, gained));
+            let admitted = self.admitted.entry(tenant.clone()).or_default();
+            let offset = *offsets.by_tenant.entry(tenant.clone()).or_insert(*admitted - total);
+            let increment = (total + offset - *admitted).max(0.0);
+            *admitted += increment;
+            increments.push((tenant, increment));
         }
-        new
+        increments
     }
 }
 
-fn is_silent(told: Option<Instant>, after: Duration, now: Instant) -> bool {
-    told.is_none_or(|told| now.saturating_duration_since(told) >= after)
+fn is_silent(last_report: Option<Instant>, timeout: Duration, now: Instant) -> bool {
+    last_report.is_none_or(|at| now.saturating_duration_since(at) >= timeout)
 }
--- a/crates/beamwall-gateway/src/stream/pace.rs
+++ b/crates/beamwall-gateway/src/stream/event_gap.rs
@@ -6,44 +6,44 @@
 
 /// Least time over which the time between events is measured: several events of a usual engine, and far less than the
 /// time within which one that has turned slow must be known.
-const MEASURED_OVER: Duration = Duration::from_millis(200);
+const MIN_SAMPLE_TIME: Duration = Duration::from_millis(200);
 
 /// Measures the time between the events of one stream.
 #[derive(Debug)]
-pub(super) struct Pace {
-    since: Instant,
+pub(super) struct EventGapMeter {
+    sample_start: Instant,
     events: u32,
-    began: Instant,
+    first_event_at: Instant,
 }
 
-impl Pace {
+impl EventGapMeter {
     /// A stream whose first events have just come.
     pub(super) fn new(now: Instant) -> Self {
-        Self { since: now, events: 0, began: now }
+        Self { sample_start: now, events: 0, first_event_at: now }
     }
 
     /// Notes events that came; gives the mean time between two, in milliseconds, once that is measured.
-    pub(super) fn note(&mut self, count: u32, now: Instant) -> Option<f64> {
+    pub(super) fn add_events(&mut self, count: u32, now: Instant) -> Option<f64> {
         self.events += count;
-        let elapsed = now.duration_since(self.since);
-        if self.events == 0 || elapsed < MEASURED_OVER {
+        let elapsed = now.duration_since(self.sample_start);
+        if self.events == 0 || elapsed < MIN_SAMPLE_TIME {
             return None;
         }
-        let between_ms = milliseconds(elapsed) / f64::from(self.events);
-        self.since = now;
+        let mean_gap_ms = milliseconds(elapsed) / f64::from(self.events);
+        self.sample_start = now;
         self.events = 0;
-        Some(between_ms)
+        Some(mean_gap_ms)
     }
 
     /// The mean time between the last events of a stream that has ended, in milliseconds: of a short one, all.
-    pub(super) fn at_end(&self, now: Instant) -> Option<f64> {
-        let elapsed = now.duration_since(self.since);
+    pub(super) fn final_gap_ms(&self, now: Instant) -> Option<f64> {
+        let elapsed = now.duration_since(self.sample_start);
         (self.events > 0).then(|| milliseconds(elapsed) / f64::from(self.events))
     }
 
     /// Time since the first events, in milliseconds.
     pub(super) fn elapsed_ms(&self, now: Instant) -> f64 {
-        milliseconds(now.duration_since(self.began))
+        milliseconds(now.duration_since(self.first_event_at))
     }
 }
 
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -1,8 +1,8 @@
 //! Event streams: whole events are passed on as they come, and a stream that breaks off is continued
 //! at another engine where the route allows it.
 
-mod pace;
-mod patience;
+mod event_gap;
+mod first_event_wait;
 mod relay;
 mod source;
 
@@ -22,7 +22,7 @@
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 use crate::refusal::Refusal;
-use crate::stream::patience::Patience;
+use crate::stream::first_event_wait::FirstEventWait;
 use crate::stream::relay::relay;
 use crate::stream::source::{Piece, Source};
 use crate::unary;
@@ -36,12 +36,12 @@
             forwarder.demand.note_request(&call.service, &call.route.name, choice.reading);
             check_servable(forwarder, call, &choice)?;
         }
-        let failed = match begin(forwarder, call, &choice, call.last_event, &mut attempts).await {
-            Ok(Begun::Stream(begun)) => {
+        let failed = match start_attempt(forwarder, call, &choice, call.last_event, &mut attempts).await {
+            Ok(AttemptStart::Stream(started)) => {
                 attempts.begin();
-                return Ok(relay(forwarder, call, *begun, attempts));
+                return Ok(relay(forwarder, call, *started, attempts));
             }
-            Ok(Begun::Answer(response)) => return Ok(response),
+            Ok(AttemptStart::Answer(response)) => return Ok(response),
             Err(failed) => failed,
         };
         next = attempts.go_on(forwarder, call, &choice, failed).await;
@@ -61,15 +61,15 @@
 }
 
 /// How an attempt began.
-enum Begun {
+enum AttemptStart {
     /// A stream.
-    Stream(Box<BegunStream>),
+    Stream(Box<StartedStream>),
     /// Another answer, read whole.
     Answer(Response<Body>),
 }
 
 /// A stream that has begun.
-struct BegunStream {
+struct StartedStream {
     head: StreamHead,
     source: Source,
     first: Piece,
@@ -82,19 +82,19 @@
 }
 
 /// Opens a stream at one back end and waits for its first events. It is left where it is silent and another takes the request.
-async fn begin(
+async fn start_attempt(
     forwarder: &Arc<Forwarder>,
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<Begun, FailedAttempt> {
-    let patience = Patience::new(forwarder, call, choice, attempts);
+) -> Result<AttemptStart, FailedAttempt> {
+    let first_event_wait = FirstEventWait::new(forwarder, call, choice, attempts);
     let sent_at = running::now();
     let limit = call.remaining();
     let sent = attempts.sent + 1;
     let mut next_back_end = std::pin::pin!(async {
-        patience.ends().await;
+        first_event_wait.expired().await;
         failover::next_back_end(forwarder, call, attempts, sent, &choice.backend).await
     });
     let opened = tokio::select! {
@@ -106,7 +106,7 @@
     };
     if !opened.response.status().is_success() {
         forwarder.note_answer(call, &choice.backend, opened.response.status().is_server_error());
-        return Ok(unary::pass_opened(forwarder, call, opened).await.map(Begun::Answer)?);
+        return Ok(unary::pass_opened(forwarder, call, opened).await.map(AttemptStart::Answer)?);
     }
     let Opened { response, work, .. } = opened;
     let (parts, body) = response.into_parts();
@@ -136,7 +136,7 @@
         forwarder.knowledge.prefixes.note_read(&choice.backend, prompt, Instant::now());
     }
     let head = StreamHead { status: parts.status, headers: forwarder.dialect.answer_headers(&parts.headers) };
-    Ok(Begun::Stream(Box::new(BegunStream { head, source, first })))
+    Ok(AttemptStart::Stream(Box::new(StartedStream { head, source, first })))
 }
 
 /// Notes how long the engine took to its first event. Events that were ready when asked for, as those of a
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -16,24 +16,24 @@
 use crate::failover::{self, FailedAttempt};
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
-use crate::stream::pace::Pace;
-use crate::stream::source::{Piece, Source, read_run};
-use crate::stream::{Begun, BegunStream, begin};
+use crate::stream::event_gap::EventGapMeter;
+use crate::stream::source::{Piece, Source, scan_events};
+use crate::stream::{AttemptStart, StartedStream, start_attempt};
 
 /// Pieces that a slow caller may lag behind before its own relay waits.
-const PIECES_AHEAD: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 /// Silence between two events after which another engine is looked for.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Starts the task that passes a stream on; gives the answer whose body it writes.
 pub(super) fn relay(
     forwarder: &Arc<Forwarder>,
     call: &Arc<Call>,
-    begun: BegunStream,
+    started: StartedStream,
     attempts: Attempts,
 ) -> Response<Body> {
-    let BegunStream { head, source, first } = begun;
-    let (sender, body) = channel(PIECES_AHEAD);
+    let StartedStream { head, source, first } = started;
+    let (sender, body) = channel(CHANNEL_CAPACITY);
     let relay = Relay {
         forwarder: forwarder.clone(),
         call: call.clone(),
@@ -65,7 +65,7 @@
 }
 
 /// What a relay that waits for an engine gets.
-enum Waited {
+enum WaitOutcome {
     Piece(Piece),
     CallerGone,
     /// The engine is silent, and another one is reserved.
@@ -77,7 +77,7 @@
         let mut source = source;
         let mut first = Some(first);
         loop {
-            let stop = self.pass_on(&mut source, first.take()).await;
+            let stop = self.forward_pieces(&mut source, first.take()).await;
             let choice = source.choice.clone();
             match stop {
                 Stop::Finished => return self.finish(&choice.backend),
@@ -88,12 +88,12 @@
                 Stop::Failed(failed) => {
                     // The connection closes here, before another engine is asked.
                     drop(source);
-                    match self.continue_elsewhere(&choice, failed).await {
-                        Some(begun) => {
-                            source = begun.source;
-                            first = Some(begun.first);
+                    match self.resume_elsewhere(&choice, failed).await {
+                        Some(started) => {
+                            source = started.source;
+                            first = Some(started.first);
                         }
-                        None => return self.break_off(&choice.backend).await,
+                        None => return self.abort_stream(&choice.backend).await,
                     }
                 }
             }
@@ -101,9 +101,9 @@
     }
 
     /// Passes pieces on until the engine's stream ends.
-    async fn pass_on(&mut self, source: &mut Source, first: Option<Piece>) -> Stop {
+    async fn forward_pieces(&mut self, source: &mut Source, first: Option<Piece>) -> Stop {
         let mut next = first;
-        let mut pace: Option<Pace> = None;
+        let mut gap_meter: Option<EventGapMeter> = None;
         let call = self.call.clone();
         // One timer for all events of the source.
         let mut time_is_up = std::pin::pin!(call.time_is_up());
@@ -111,9 +111,9 @@
             let piece = match next.take() {
                 Some(piece) => piece,
                 None => match self.wait(source, time_is_up.as_mut()).await {
-                    Waited::Piece(piece) => piece,
-                    Waited::CallerGone => return Stop::CallerGone,
-                    Waited::FailOver(next) => {
+                    WaitOutcome::Piece(piece) => piece,
+                    WaitOutcome::CallerGone => return Stop::CallerGone,
+                    WaitOutcome::FailOver(next) => {
                         let failure = AttemptFailure::lost("silent for too long");
                         return Stop::Failed(FailedAttempt { failure, next: Some(next) });
                     }
@@ -123,19 +123,19 @@
                 Piece::Events(events) => {
                     let now = running::now();
                     self.forwarder.knowledge.health.note_heard(&source.choice.backend, now);
-                    let run = read_run(&events);
-                    match &mut pace {
-                        None => pace = Some(Pace::new(now)),
-                        Some(pace) => self.note_pace(pace, source, run.count, now),
+                    let batch = scan_events(&events);
+                    match &mut gap_meter {
+                        None => gap_meter = Some(EventGapMeter::new(now)),
+                        Some(gap_meter) => self.measure_event_gap(gap_meter, source, batch.count, now),
                     }
                     if self.sender.send(events).await.is_err() {
                         return Stop::CallerGone;
                     }
-                    self.last_event = run.last.or(self.last_event);
+                    self.last_event = batch.last.or(self.last_event);
                 }
                 Piece::End => {
-                    if let Some(pace) = pace {
-                        self.note_whole_stream(&pace, source);
+                    if let Some(gap_meter) = gap_meter {
+                        self.record_whole_stream(&gap_meter, source);
                     }
                     return Stop::Finished;
                 }
@@ -144,51 +144,51 @@
         }
     }
 
-    fn note_pace(&self, pace: &mut Pace, source: &Source, events: u32, now: Instant) {
-        if let Some(between_ms) = pace.note(events, now) {
-            self.note_event_gap(source, between_ms);
+    fn measure_event_gap(&self, gap_meter: &mut EventGapMeter, source: &Source, events: u32, now: Instant) {
+        if let Some(mean_gap_ms) = gap_meter.add_events(events, now) {
+            self.note_event_gap(source, mean_gap_ms);
         }
     }
 
-    fn note_whole_stream(&self, pace: &Pace, source: &Source) {
+    fn record_whole_stream(&self, gap_meter: &EventGapMeter, source: &Source) {
         let now = running::now();
-        if let Some(between_ms) = pace.at_end(now) {
-            self.note_event_gap(source, between_ms);
+        if let Some(mean_gap_ms) = gap_meter.final_gap_ms(now) {
+            self.note_event_gap(source, mean_gap_ms);
         }
-        self.forwarder.knowledge.models.note_stream(&self.call.service, pace.elapsed_ms(now));
+        self.forwarder.knowledge.models.note_stream(&self.call.service, gap_meter.elapsed_ms(now));
     }
 
-    fn note_event_gap(&self, source: &Source, between_ms: f64) {
+    fn note_event_gap(&self, source: &Source, mean_gap_ms: f64) {
         let service = &self.call.service;
         let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
         let models = &self.forwarder.knowledge.models;
-        models.note_event_gap(service, &source.choice.backend, running, between_ms, Instant::now());
+        models.note_event_gap(service, &source.choice.backend, running, mean_gap_ms, Instant::now());
     }
 
     /// Waits for the next piece. A silent engine is left only where another takes the stream: late events are better than none.
-    async fn wait(&mut self, source: &mut Source, time_is_up: impl Future<Output = ()>) -> Waited {
+    async fn wait(&mut self, source: &mut Source, time_is_up: impl Future<Output = ()>) -> WaitOutcome {
         let Self { forwarder, call, attempts, sender, .. } = self;
-        let may_move = call.may_fail_over(attempts.sent);
-        let silent = source.choice.backend.clone();
+        let can_fail_over = call.may_fail_over(attempts.sent);
+        let silent_backend = source.choice.backend.clone();
         let next_back_end = async {
-            if !may_move {
+            if !can_fail_over {
                 return std::future::pending().await;
             }
-            running::sleep(SILENCE_LIMIT).await;
-            failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent).await
+            running::sleep(SILENCE_TIMEOUT).await;
+            failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent_backend).await
         };
         tokio::select! {
             // What has come goes before what says that nothing came.
             biased;
-            piece = source.next_piece() => Waited::Piece(piece),
-            () = sender.disconnected() => Waited::CallerGone,
-            () = time_is_up => Waited::Piece(Piece::Broken(AttemptFailure::lost("the time is up"))),
-            next = next_back_end => Waited::FailOver(next),
+            piece = source.next_piece() => WaitOutcome::Piece(piece),
+            () = sender.disconnected() => WaitOutcome::CallerGone,
+            () = time_is_up => WaitOutcome::Piece(Piece::Broken(AttemptFailure::lost("the time is up"))),
+            next = next_back_end => WaitOutcome::FailOver(next),
         }
     }
 
     /// Continues the stream after the last event that was passed on, where `from` gave no more.
-    async fn continue_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<BegunStream> {
+    async fn resume_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<StartedStream> {
         let FailedAttempt { failure, next } = failed;
         self.forwarder.knowledge.health.note(&from.backend, true, Instant::now());
         self.forwarder.note_answer(&self.call, &from.backend, true);
@@ -196,17 +196,17 @@
         let mut next = self.attempts.next_choice(&self.forwarder, &self.call, from, next).await;
         while let Some(choice) = next {
             let Self { forwarder, call, attempts, .. } = self;
-            let begun = tokio::select! {
-                begun = begin(forwarder, call, &choice, self.last_event, attempts) => begun,
+            let resumed = tokio::select! {
+                resumed = start_attempt(forwarder, call, &choice, self.last_event, attempts) => resumed,
                 () = self.sender.disconnected() => return None,
             };
-            let failed = match begun {
-                Ok(Begun::Stream(begun)) => {
+            let failed = match resumed {
+                Ok(AttemptStart::Stream(resumed)) => {
                     self.attempts.begin();
-                    self.note_continued(&from.backend, &choice.backend);
-                    return Some(*begun);
+                    self.record_resumption(&from.backend, &choice.backend);
+                    return Some(*resumed);
                 }
-                Ok(Begun::Answer(response)) => {
+                Ok(AttemptStart::Answer(response)) => {
                     let reason = format!("answered {} to a stream that continues", response.status());
                     AttemptFailure::may_have_run(reason).into()
                 }
@@ -217,7 +217,7 @@
         None
     }
 
-    fn note_continued(&self, from: &BackendId, to: &BackendId) {
+    fn record_resumption(&self, from: &BackendId, to: &BackendId) {
         emit(&StreamContinued {
             request: self.call.log_id(),
             from: from.to_string(),
@@ -240,7 +240,7 @@
     }
 
     /// Ends the answer as broken, so that the caller can't take it for a whole one.
-    async fn break_off(self, backend: &BackendId) {
+    async fn abort_stream(self, backend: &BackendId) {
         let reason = self.attempts.last_failure.as_ref().map(|failure| failure.reason.clone());
         emit(&StreamBroken {
             request: self.call.log_id(),
--- a/crates/beamwall-gateway/src/stream/source.rs
+++ b/crates/beamwall-gateway/src/stream/source.rs
@@ -82,7 +82,7 @@
 
 /// What a run of whole events holds.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct EventRun {
+pub(super) struct EventBatch {
     /// How many events.
     pub(super) count: u32,
     /// The number of the last one that carries any.
@@ -90,13 +90,13 @@
 }
 
 /// Reads a run of whole events.
-pub(super) fn read_run(events: &[u8]) -> EventRun {
+pub(super) fn scan_events(events: &[u8]) -> EventBatch {
     let mut splitter = EventSplitter::default();
     splitter.push(events);
-    let mut run = EventRun::default();
+    let mut batch = EventBatch::default();
     while let Some(event) = splitter.next_event() {
-        run.count += 1;
-        run.last = event.id.or(run.last);
+        batch.count += 1;
+        batch.last = event.id.or(batch.last);
     }
-    run
+    batch
 }
--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_request_is_refused_when_the_best_engine_begins_after_its_caller_has_left() {
-    let estimates = support::observed().estimates();
+fn a_request_is_refused_when_the_best_engine_would_start_after_its_deadline() {
+    let estimates = support::typical_statistics().estimates();
     let remaining = Duration::from_secs(2);
     let check = |tokens| admission::check(&choice(&estimates, tokens), &estimates, remaining, OBJECTIVE);
     assert_eq!(check(32_000), None, "a second of reading lies ahead");
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -32,9 +32,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// A dialect and placement that nobody asks here, and trials that are never granted.
-struct Unused;
+struct StubPorts;
 
-impl Dialect for Unused {
+impl Dialect for StubPorts {
     fn read_call(&self, _: &HeaderMap) -> CallHead {
         CallHead::default()
     }
@@ -51,14 +51,14 @@
 }
 
 #[async_trait]
-impl PlacementPort for Unused {
+impl PlacementPort for StubPorts {
     async fn place(&self, _: &PlacementQuestion) -> PlacementAnswer {
         PlacementAnswer::Unanswered
     }
 }
 
 #[async_trait]
-impl TrialPort for Unused {
+impl TrialPort for StubPorts {
     async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
@@ -69,18 +69,19 @@
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
     let book: Arc<QuarantineBook> = Arc::default();
-    let quarantine = Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(Unused));
+    let quarantine =
+        Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(StubPorts));
     let allowance =
         RetryAllowance { earned_percent: 100, saved_percent: 0, extra: retries, window: SECOND * 10 };
     Forwarder {
         node: "n1".into(),
         zone: "a".into(),
-        dialect: Arc::new(Unused),
+        dialect: Arc::new(StubPorts),
         pool,
         directory,
         knowledge: Knowledge::default(),
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
-        placement: Arc::new(Unused),
+        placement: Arc::new(StubPorts),
         demand: DemandBook::default(),
         rollouts: RolloutBook::default(),
         quarantine: Arc::new(quarantine),
@@ -96,7 +97,7 @@
     Call { service: "pool".into(), prompt: None, deadline: call.received + SECOND * 10, ..call }
 }
 
-fn refused() -> FailedAttempt {
+fn refused_attempt() -> FailedAttempt {
     AttemptFailure { ran: Ran::No, answer_lost: false, ..AttemptFailure::may_have_run("refused") }.into()
 }
 
@@ -122,7 +123,7 @@
 
 /// Guards against: retries are spent while no engine is there to take them.
 #[tokio::test(start_paused = true)]
-async fn without_another_engine_the_retry_goes_back() {
+async fn the_retry_is_returned_when_there_is_no_other_engine() {
     let (forwarder, call) = (forwarder(1, 1.0), call());
     let (mut attempts, _, next) = fail_over(&forwarder, &call).await;
     assert_eq!(next, Err(Missing::BackEnd));
@@ -132,7 +133,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_retry_no_engine_is_reserved() {
+async fn no_engine_is_reserved_without_retry_budget() {
     let (forwarder, call) = (forwarder(3, 0.0), call());
     while forwarder.retries.take(&call.service, Instant::now()) {}
     let (attempts, _, next) = fail_over(&forwarder, &call).await;
@@ -142,7 +143,7 @@
 
 /// Guards against: a caller is cut since the engine that was to take its stream over refused it, though the first one is well.
 #[tokio::test(start_paused = true)]
-async fn a_request_goes_back_to_the_engine_that_it_left_where_the_other_refuses() {
+async fn a_request_returns_to_the_silent_engine_when_the_other_refuses() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let (mut attempts, first, next) = fail_over(&forwarder, &call).await;
@@ -150,11 +151,11 @@
     let second = attempts.go_on(&forwarder, &call, &first, failed).await.expect("the reserved engine");
     assert_ne!(second.backend, first.backend);
     let mut returned = 0;
-    let mut next = attempts.go_on(&forwarder, &call, &second, refused()).await;
+    let mut next = attempts.go_on(&forwarder, &call, &second, refused_attempt()).await;
     while let Some(choice) = next {
         assert_eq!(choice.backend, first.backend, "no third engine, and not the one that refused");
         returned += 1;
-        next = attempts.go_on(&forwarder, &call, &choice, refused()).await;
+        next = attempts.go_on(&forwarder, &call, &choice, refused_attempt()).await;
     }
     assert_eq!(returned, 3);
     assert_eq!(attempts.tried.len(), 2);
@@ -162,12 +163,12 @@
 
 /// An engine that broke off is not asked again: only silence says nothing of it.
 #[tokio::test(start_paused = true)]
-async fn a_request_does_not_go_back_to_an_engine_that_failed() {
+async fn a_request_does_not_return_to_an_engine_that_failed() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(&forwarder, &call).await.expect("an engine");
     let lost = AttemptFailure::lost("reset").into();
     let second = attempts.go_on(&forwarder, &call, &first, lost).await.expect("the other engine");
-    assert_eq!(attempts.go_on(&forwarder, &call, &second, refused()).await, None);
+    assert_eq!(attempts.go_on(&forwarder, &call, &second, refused_attempt()).await, None);
 }
--- a/crates/beamwall-gateway/tests/lives.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -41,7 +41,7 @@
 }
 
 /// Lets a node know all that can be known of a life.
-fn learn(knowledge: &Knowledge, id: &BackendId, now: Instant) {
+fn record_all(knowledge: &Knowledge, id: &BackendId, now: Instant) {
     knowledge.health.note_unreachable(id, now);
     knowledge.prefixes.note_read(id, &prompt(), now);
     knowledge.queues.add(id, 4_000.0, now);
@@ -49,23 +49,23 @@
     knowledge.reports.note(&"n2".into(), std::slice::from_ref(id), now);
     let slow = ToldSlowness { logarithms: 8.0, weight: 4.0 };
     knowledge.models.hear_report(vec![(id.clone(), slow)], now);
-    tell_loads(knowledge, id);
+    report_loads(knowledge, id);
     knowledge.models.refresh(now);
 }
 
 /// What a peer tells that still knows the life.
-fn tell_loads(knowledge: &Knowledge, id: &BackendId) {
+fn report_loads(knowledge: &Knowledge, id: &BackendId) {
     let load = OpenLoad { requests: 7, prompt_tokens: 9_000 };
     knowledge.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_next_life_of_a_back_end_begins_as_if_nothing_were_known() {
+async fn a_restarted_back_end_inherits_no_observations() {
     let knowledge = Knowledge::default();
-    support::teach(&knowledge.models, support::observed());
+    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     let mut directory = Directory::default();
     directory.replace(DirectorySnapshot { revision: 1, backends: vec![life(1)] }, Vanishing::Gone);
-    learn(&knowledge, &life(1).id, Instant::now());
+    record_all(&knowledge, &life(1).id, Instant::now());
     let before = candidate(&knowledge, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
     assert_eq!(before.load.requests, 8, "seven were told, one is placed and not told yet");
@@ -75,7 +75,7 @@
     let changes = vec![DirectoryChange::Changed(life(2))];
     directory.apply(1, DirectoryChanges { revision: 2, changes }, Vanishing::Gone);
     knowledge.follow(&directory);
-    tell_loads(&knowledge, &life(1).id);
+    report_loads(&knowledge, &life(1).id);
     tokio::time::advance(Duration::from_millis(10)).await;
     knowledge.models.refresh(Instant::now());
     let after = candidate(&knowledge, &directory);
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -34,7 +34,7 @@
 
 /// Runs with what is expected of the engines that the tests know.
 fn with_expectation<T>(run: impl FnOnce(&Expectation<'_>) -> T) -> T {
-    let estimates = support::observed().estimates();
+    let estimates = support::typical_statistics().estimates();
     run(&Expectation { estimates: &estimates, pause_objective_ms: Some(100) })
 }
 
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_wins_until_it_is_busy() {
-    let keeps = Candidate { reading: Some(unread(0)), ..candidate("keeps") };
-    assert_eq!(chosen(&[candidate("other"), keeps.clone()]), "keeps");
-    let busy = Candidate { load: OpenLoad { requests: 10, prompt_tokens: 40_000 }, ..keeps };
+fn an_engine_with_the_prompt_cached_is_chosen_until_it_is_busy() {
+    let cached = Candidate { reading: Some(unread(0)), ..candidate("cached") };
+    assert_eq!(chosen(&[candidate("other"), cached.clone()]), "cached");
+    let busy = Candidate { load: OpenLoad { requests: 10, prompt_tokens: 40_000 }, ..cached };
     assert_eq!(chosen(&[candidate("other"), busy]), "other");
 }
 
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_usual_share_of_failures_is_not_held_against_a_back_end() {
+fn a_normal_failure_share_does_not_raise_the_cost() {
     let usual =
         Candidate { health: HealthView { failure_share: 0.2, unreachable: false }, ..candidate("usual") };
     assert!((cost_ms(&usual) - cost_ms(&candidate("well"))).abs() < 1e-9);
 }
 
 #[test]
-fn the_choice_is_never_dearer_than_any_other() {
+fn the_choice_never_costs_more_than_any_other() {
     on_seeds(1_000, |random| {
         let count = random.int_in_range(1..=8)?;
         let candidates = (0..count)
@@ -108,7 +108,7 @@
 
 /// An engine that has quietly turned slow answers, so nothing fails.
 #[test]
-fn a_slow_engine_is_passed_over_until_the_others_are_busier() {
+fn a_slow_engine_is_avoided_until_the_others_are_busier() {
     let slow = Candidate { slowness: 5.0, ..candidate("slow") };
     let busy =
         |prompt_tokens| Candidate { load: OpenLoad { requests: 3, prompt_tokens }, ..candidate("busy") };
@@ -118,7 +118,7 @@
 
 /// 20 ms and one more for each running request, against 100 ms.
 #[test]
-fn an_engine_with_pauses_beyond_the_objective_is_passed_over() {
+fn an_engine_with_event_gaps_beyond_the_objective_is_avoided() {
     let load = |requests| OpenLoad { requests, prompt_tokens: 0 };
     let crowded = Candidate { load: load(120), ..candidate("crowded") };
     let reads = Candidate { load: OpenLoad { requests: 60, prompt_tokens: 10_000 }, ..candidate("reads") };
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn before_anything_is_known_open_requests_decide() {
+fn open_requests_decide_before_estimates_exist() {
     let nothing = ServiceEstimates::default();
     let expectation = Expectation { estimates: &nothing, pause_objective_ms: None };
     let open =
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn failures_fade_so_that_a_back_end_is_tried_again() {
+fn failures_decay_so_that_a_back_end_is_tried_again() {
     let (book, start) = (HealthBook::default(), Instant::now());
     let engine: BackendId = "e".into();
     for _ in 0..20 {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn open_work_counts_until_it_ends_and_prompts_until_they_are_read() {
+fn open_work_counts_until_it_ends_and_prompts_until_prefilled() {
     let book = Arc::new(LoadBook::default());
     let engine: BackendId = "e".into();
     let mut work = book.open(&engine, 500);
@@ -186,7 +186,7 @@
 /// On a quiet day of a large deployment the engines that kept a prompt were passed over because a telling a
 /// second old said that they read another one.
 #[test]
-fn told_prompt_tokens_are_averaged_and_fade_when_they_are_told_no_more() {
+fn reported_prompt_tokens_are_averaged_and_decay_without_reports() {
     let book = LoadBook::default();
     let engine: BackendId = "e".into();
     let peer = Reporter::Node("n1".into());
@@ -195,8 +195,8 @@
     }
     assert!((980..=1_000).contains(&book.total(&engine).prompt_tokens));
     book.set_peer(&peer, HashMap::new());
-    let faded = book.total(&engine);
-    assert!(faded.requests == 0 && (600..=700).contains(&faded.prompt_tokens), "{faded:?}");
+    let decayed = book.total(&engine);
+    assert!(decayed.requests == 0 && (600..=700).contains(&decayed.prompt_tokens), "{decayed:?}");
     for _ in 0..30 {
         book.set_peer(&peer, HashMap::new());
     }
@@ -204,13 +204,13 @@
 }
 
 #[test]
-fn the_sum_for_other_zones_holds_what_nodes_told_and_not_what_zones_told() {
+fn the_sum_for_other_zones_includes_nodes_and_excludes_zones() {
     let book = Arc::new(LoadBook::default());
     let engine: BackendId = "e".into();
     let _own = book.open(&engine, 10);
-    let told = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
-    book.set_peer(&Reporter::Node("n1".into()), told(2));
-    book.set_peer(&Reporter::Zone("east".into()), told(40));
+    let peer_load = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
+    book.set_peer(&Reporter::Node("n1".into()), peer_load(2));
+    book.set_peer(&Reporter::Zone("east".into()), peer_load(40));
     assert_eq!(book.total(&engine).requests, 43);
     assert_eq!(book.sum_of_nodes()[&engine].requests, 3);
 }
@@ -218,7 +218,7 @@
 /// On a quiet day of a large deployment a third of the chats were given up on: a node has few streams there,
 /// and an engine from which none is due says nothing by its silence.
 #[test]
-fn an_engine_owes_events_to_the_requests_that_it_has_begun_to_answer() {
+fn an_engine_answers_only_requests_whose_first_event_arrived() {
     let book = Arc::new(LoadBook::default());
     let engine: BackendId = "e".into();
     let waiting = book.open(&engine, 10);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn parts_count_as_kept_only_behind_kept_ones_and_for_a_while() {
+fn prompt_parts_count_as_cached_only_after_cached_parts_and_until_expiry() {
     let (belief, start) = (PrefixBelief::default(), Instant::now());
     let engine: BackendId = "e".into();
     belief.note_read(&engine, &prompt(&[1, 2, 3]), start);
@@ -252,20 +252,20 @@
 }
 
 #[test]
-fn all_nodes_prefer_the_same_engine_for_a_shared_beginning() {
+fn all_nodes_prefer_the_same_engine_for_a_shared_prefix() {
     let engines: Vec<BackendId> = (0..6).map(|number| BackendId::new(format!("e{number}"))).collect();
-    let mut turned = engines.clone();
-    turned.reverse();
+    let mut reversed = engines.clone();
+    reversed.reverse();
     for id in 0..50 {
         let (one, other) = (prompt(&[7, id, 1_000 + id]), prompt(&[7, id, 2_000 + id]));
-        assert_eq!(home(&one, &engines), home(&other, &turned));
+        assert_eq!(home(&one, &engines), home(&other, &reversed));
         assert_eq!(shared_tokens(&one), 200);
     }
     assert_eq!(home(&prompt(&[1]), &engines), None, "nothing is shared");
 }
 
 #[test]
-fn the_baselines_take_turns_and_count_requests() {
+fn the_baselines_are_round_robin_and_least_requests() {
     let open = |name: &str, requests: u32| {
         let load = OpenLoad { requests, prompt_tokens: 0 };
         Candidate { load, ..candidate(name) }
--- a/crates/beamwall-gateway/tests/demand.rs
+++ b/crates/beamwall-gateway/tests/demand.rs
@@ -9,7 +9,7 @@
 const PERIOD: Duration = Duration::from_millis(500);
 
 /// Notes `count` requests a period for `periods` periods.
-fn press(book: &DemandBook, count: usize, periods: usize) -> Workload {
+fn record_arrivals(book: &DemandBook, count: usize, periods: usize) -> Workload {
     let mut work = Workload::default();
     for _ in 0..periods {
         for _ in 0..count {
@@ -27,8 +27,11 @@
         (work.pairs, expected.pairs),
         (work.events, expected.events),
     ];
-    for (measured, truth) in pairs {
-        assert!((measured - truth).abs() <= truth * 0.05, "{work:?} instead of {expected:?}");
+    for (measured, expected_value) in pairs {
+        assert!(
+            (measured - expected_value).abs() <= expected_value * 0.05,
+            "{work:?} instead of {expected:?}"
+        );
     }
 }
 
@@ -36,10 +39,10 @@
 fn demand_is_the_work_that_arrives_in_a_second() {
     let book = DemandBook::default();
     book.note_events("drafts", 30);
-    let a_second =
+    let per_second =
         Workload { requests: 20.0, tokens: 64_000.0, pairs: 20.0 * 3_200.0 * 1_600.0, events: 600.0 };
-    assert_close(press(&book, 10, 40), a_second);
-    let falling = press(&book, 0, 40);
+    assert_close(record_arrivals(&book, 10, 40), per_second);
+    let falling = record_arrivals(&book, 0, 40);
     assert!(falling.requests < 0.1 && falling.tokens < 300.0, "{falling:?}");
 }
 
@@ -64,5 +67,5 @@
         short.note_events("drafts", 2);
         long.note_events("drafts", 200);
     }
-    assert!(press(&long, 5, 20).events > press(&short, 5, 20).events * 50.0);
+    assert!(record_arrivals(&long, 5, 20).events > record_arrivals(&short, 5, 20).events * 50.0);
 }
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -12,18 +12,18 @@
 use beamwall_seeds::on_seeds;
 
 /// Speeds of engines, as factors of those that the tests know.
-const FACTORS: [f64; 4] = [0.2, 0.6, 1.5, 5.0];
+const SPEED_FACTORS: [f64; 4] = [0.2, 0.6, 1.5, 5.0];
 /// Most that requests may begin later than at the best engines, in the mean over one run of arrivals.
-const MOST_EXCESS: f64 = 0.05;
+const MAX_EXCESS: f64 = 0.05;
 const REQUESTS: usize = 60;
 
 /// What requests truly take at engines `factor` times as fast.
 fn reading_ms(reading: Reading, factor: f64) -> f64 {
-    support::reading_ms(reading) / factor
+    support::prefill_ms(reading) / factor
 }
 
 /// What 200 noisy requests tell of such engines.
-fn learnt(factor: f64) -> ServiceEstimates {
+fn learnt_estimates(factor: f64) -> ServiceEstimates {
     let mut statistics = ServiceStatistics::default();
     let mut known = statistics.estimates();
     for number in 0..200_u64 {
@@ -36,11 +36,11 @@
             running: (number % 24) as u32,
         };
         let ahead_ms = reading_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
-        let truth_ms = 5.0 + reading_ms(of.reading, factor) + ahead_ms;
+        let actual_ms = 5.0 + reading_ms(of.reading, factor) + ahead_ms;
         // Up to a tenth off, and one in twenty four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
-        statistics.note_first_event(of, truth_ms * noise * outlier, &known);
+        statistics.note_first_event(of, actual_ms * noise * outlier, &known);
         statistics.note_event_gap(of.running, 20.0 / factor, &known);
     }
     statistics.estimates()
@@ -50,31 +50,31 @@
 struct Engines {
     free_at_ms: Vec<f64>,
     /// Beginning that each engine keeps, by the number of the session.
-    keeps: Vec<Vec<u64>>,
+    cached_sessions: Vec<Vec<u64>>,
     factor: f64,
 }
 
 impl Engines {
     fn new(count: usize, factor: f64) -> Self {
-        Self { free_at_ms: vec![0.0; count], keeps: vec![Vec::new(); count], factor }
+        Self { free_at_ms: vec![0.0; count], cached_sessions: vec![Vec::new(); count], factor }
     }
 
     fn reading(&self, engine: usize, session: u64, tokens: u64) -> Reading {
-        let kept = if self.keeps[engine].contains(&session) { tokens / 2 } else { 0 };
-        Reading::of_rest(kept, tokens - kept)
+        let cached = if self.cached_sessions[engine].contains(&session) { tokens / 2 } else { 0 };
+        Reading::of_rest(cached, tokens - cached)
     }
 
     /// Time from now until the engine would begin to answer.
-    fn begins_ms(&self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
-        let waits = (self.free_at_ms[engine] - now_ms).max(0.0);
-        waits + reading_ms(self.reading(engine, session, tokens), self.factor)
+    fn start_delay_ms(&self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
+        let wait_ms = (self.free_at_ms[engine] - now_ms).max(0.0);
+        wait_ms + reading_ms(self.reading(engine, session, tokens), self.factor)
     }
 
-    fn take(&mut self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
-        let begins = self.begins_ms(engine, session, tokens, now_ms);
-        self.free_at_ms[engine] = now_ms + begins;
-        self.keeps[engine].push(session);
-        begins
+    fn assign(&mut self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
+        let delay_ms = self.start_delay_ms(engine, session, tokens, now_ms);
+        self.free_at_ms[engine] = now_ms + delay_ms;
+        self.cached_sessions[engine].push(session);
+        delay_ms
     }
 
     /// The engine that the learnt model chooses.
@@ -99,16 +99,17 @@
     }
 
     /// Time until the best engine would begin.
-    fn soonest_ms(&self, session: u64, tokens: u64, now_ms: f64) -> f64 {
-        let begins = (0..self.free_at_ms.len()).map(|engine| self.begins_ms(engine, session, tokens, now_ms));
-        begins.fold(f64::INFINITY, f64::min)
+    fn earliest_start_ms(&self, session: u64, tokens: u64, now_ms: f64) -> f64 {
+        let delay_ms =
+            (0..self.free_at_ms.len()).map(|engine| self.start_delay_ms(engine, session, tokens, now_ms));
+        delay_ms.fold(f64::INFINITY, f64::min)
     }
 }
 
 #[test]
-fn the_learnt_choice_is_nearly_as_good_as_one_that_knows_the_truth() {
-    for factor in FACTORS {
-        let estimates = learnt(factor);
+fn the_learnt_choice_is_nearly_as_good_as_an_oracle() {
+    for factor in SPEED_FACTORS {
+        let estimates = learnt_estimates(factor);
         on_seeds(2_000, |random| {
             let count = random.int_in_range(2..=8_usize)?;
             let mut engines = Engines::new(count, factor);
@@ -117,12 +118,12 @@
                 let tokens = u64::from(random.int_in_range(100..=16_000_u32)?);
                 let session = u64::from(random.int_in_range(0..=9_u32)?);
                 now_ms += f64::from(random.int_in_range(0..=400_u32)?) / factor / count as f64;
-                best_ms += engines.soonest_ms(session, tokens, now_ms);
+                best_ms += engines.earliest_start_ms(session, tokens, now_ms);
                 let chosen = engines.choose(&estimates, session, tokens, now_ms);
-                chosen_ms += engines.take(chosen, session, tokens, now_ms);
+                chosen_ms += engines.assign(chosen, session, tokens, now_ms);
             }
             assert!(
-                chosen_ms <= best_ms * (1.0 + MOST_EXCESS),
+                chosen_ms <= best_ms * (1.0 + MAX_EXCESS),
                 "{chosen_ms:.0} instead of {best_ms:.0} ms at {count} engines of speed {factor}"
             );
             Ok(())
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_change_after_a_quiet_wait_is_taken() {
+fn a_change_after_an_empty_watch_result_is_applied() {
     let mut directory = listed(46, vec![backend(1, false)]);
     // Other kinds of object changed meanwhile: the wait ended without changes at a higher revision.
     directory.apply(46, changes(49, Vec::new()), Vanishing::Gone);
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn changes_that_do_not_follow_are_refused() {
+fn changes_after_a_revision_gap_are_refused() {
     let mut directory = listed(10, vec![backend(1, false)]);
     assert!(!directory.apply(12, changes(13, vec![DirectoryChange::Gone("b1".into())]), Vanishing::Gone));
     assert_eq!(directory.revision(), 10);
 }
 
 #[test]
-fn an_older_snapshot_of_a_peer_is_refused() {
+fn an_older_snapshot_from_a_peer_is_refused() {
     let mut directory = listed(10, vec![backend(1, true)]);
     assert!(
         !directory
@@ -65,7 +65,7 @@
 
 /// One true history; a watch that follows it in random steps, and snapshots of random moments.
 #[test]
-fn any_mix_of_watch_answers_and_snapshots_ends_at_the_truth() {
+fn any_mix_of_watch_results_and_snapshots_converges_to_the_history() {
     on_seeds(2_000, |random| {
         let history = draw_history(random)?;
         let last = history.len() as u64;
@@ -137,7 +137,7 @@
     let gone = |number: u8| DirectoryChange::Gone(backend(number, false).instance);
     let all_gone = changes(20, vec![gone(1), gone(2), gone(3)]);
     assert!(directory.apply(10, all_gone, Vanishing::MayHaveLapsed));
-    assert_eq!(directory.backends().count(), 0, "peers are told what is listed");
+    assert_eq!(directory.backends().count(), 0, "peers are sent only listed back ends");
     assert_eq!(directory.usable(&service).count(), 2, "one had said that it leaves");
     assert!(directory.get(&"b1".into()).is_some());
     let listed_again = changes(21, vec![DirectoryChange::Changed(backend(1, false))]);
@@ -157,8 +157,8 @@
 
 /// A peer that holds any revision of the history gets what leads it to the newest, or nothing at all.
 #[test]
-fn a_peer_that_is_told_what_changed_ends_at_the_truth() {
-    let mut told = 0;
+fn a_peer_that_applies_changes_converges_to_the_same_list() {
+    let mut received = 0;
     on_seeds(2_000, |random| {
         let history = draw_history(random)?;
         let last = history.len() as u64;
@@ -177,12 +177,12 @@
                 assert!(peer.apply(held, changes, Vanishing::Gone));
                 assert_eq!(peer.snapshot(), directory.snapshot(), "from {held}");
                 assert_eq!(peer.digest(), directory.digest());
-                told += 1;
+                received += 1;
             }
         }
         Ok(())
     });
-    assert!(told > 100, "{told} told");
+    assert!(received > 100, "{received} change lists applied");
 }
 
 fn listed_at(history: &History, revision: u64) -> Directory {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_changed_long_ago_is_not_told() {
+fn changes_from_long_ago_are_not_sent() {
     let mut directory = listed(1, vec![backend(1, false)]);
     for revision in 1..10_000 {
         let change = DirectoryChange::Changed(backend(1, revision % 2 == 0));
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_back_end_that_starts_again_under_its_name_is_another_one() {
+fn a_restarted_back_end_with_the_same_name_is_a_different_one() {
     let mut directory = listed(10, vec![life(1)]);
     let changed = |born_ms| vec![DirectoryChange::Changed(life(born_ms))];
     assert!(directory.apply(10, changes(11, changed(2)), Vanishing::Gone));
@@ -239,14 +239,14 @@
     assert!(watched.replace(DirectorySnapshot { revision: 13, backends: vec![life(1)] }, Vanishing::Gone));
     assert_eq!(lives(&watched), [life(2).id]);
     let mut peer = listed(10, vec![life(1)]);
-    let told = watched.changes_since(12).expect("known");
+    let received = watched.changes_since(12).expect("known");
     assert!(peer.apply(10, watched.changes_since(10).expect("known"), Vanishing::Gone));
-    assert!(peer.apply(12, told, Vanishing::Gone) || peer.revision() == 13);
+    assert!(peer.apply(12, received, Vanishing::Gone) || peer.revision() == 13);
     assert_eq!(lives(&peer), [life(2).id]);
 }
 
 #[test]
-fn old_news_of_an_earlier_life_changes_nothing_at_a_node_that_was_cut_off() {
+fn outdated_changes_of_an_earlier_life_are_ignored_by_a_partitioned_node() {
     let mut directory = listed(10, vec![life(1)]);
     directory.apply(10, changes(15, vec![DirectoryChange::Changed(life(2))]), Vanishing::Gone);
     let old = changes(12, vec![DirectoryChange::Changed(Backend { draining: true, ..life(1) })]);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn what_was_read_of_the_first_list_is_used_until_the_whole_is_known() {
+fn pages_of_the_first_list_are_used_until_the_list_is_complete() {
     let mut directory = Directory::default();
     assert!(directory.use_meanwhile(vec![backend(1, false)]));
     assert!(directory.use_meanwhile(vec![backend(1, false), backend(2, true)]));
@@ -267,23 +267,23 @@
         usable
     };
     assert_eq!(usable(&directory), ["b1".into()]);
-    assert_eq!((directory.revision(), directory.digest()), (0, 0), "peers are told of whole lists only");
+    assert_eq!((directory.revision(), directory.digest()), (0, 0), "peers are sent complete lists only");
     assert!(directory.snapshot().backends.is_empty());
     // The first was gone by the time that the whole was read.
-    let whole = DirectorySnapshot { revision: 7, backends: vec![backend(3, false)] };
-    assert!(directory.replace(whole, Vanishing::Gone));
+    let complete = DirectorySnapshot { revision: 7, backends: vec![backend(3, false)] };
+    assert!(directory.replace(complete, Vanishing::Gone));
     assert_eq!(usable(&directory), ["b3".into()]);
-    assert!(!directory.use_meanwhile(vec![backend(1, false)]), "the whole is known");
+    assert!(!directory.use_meanwhile(vec![backend(1, false)]), "the complete list is known");
     assert_eq!(usable(&directory), ["b3".into()]);
 }
 
 /// A peer that holds nothing is told all, whatever was used here before the whole was known.
 #[test]
-fn peers_are_told_all_of_a_list_whose_pages_were_used_before() {
+fn peers_receive_the_complete_list_after_its_pages_were_used() {
     let mut directory = Directory::default();
     directory.use_meanwhile(vec![backend(1, false)]);
-    let whole = DirectorySnapshot { revision: 7, backends: vec![backend(1, false), backend(2, false)] };
-    directory.replace(whole, Vanishing::Gone);
+    let complete = DirectorySnapshot { revision: 7, backends: vec![backend(1, false), backend(2, false)] };
+    directory.replace(complete, Vanishing::Gone);
     let mut peer = Directory::default();
     match directory.changes_since(0) {
         Some(changes) => assert!(peer.apply(0, changes, Vanishing::Gone)),
@@ -294,7 +294,7 @@
 
 /// What a peer tells as changes to one that held nothing is the whole list, too.
 #[test]
-fn changes_from_nothing_replace_what_was_read_so_far() {
+fn changes_from_revision_zero_replace_the_pages_read_so_far() {
     let mut directory = Directory::default();
     directory.use_meanwhile(vec![backend(1, false)]);
     assert!(directory.apply(0, changes(7, Vec::new()), Vanishing::Gone));
@@ -304,15 +304,15 @@
 /// Guards against back ends that stay listed for ever: what a peer tells leads on from the revision that it was asked for, and
 /// leaves out what came and went since.
 #[test]
-fn changes_told_to_a_list_that_has_moved_on_meanwhile_leave_nothing_behind() {
+fn changes_sent_to_a_list_that_has_advanced_leave_no_stale_entries() {
     let mut peer = listed(10, vec![backend(1, false)]);
     // It reads the whole list; in between a back end came and went, of which it knows nothing.
     peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, Vanishing::Gone);
     let mut own = listed(10, vec![backend(1, false)]);
-    let told = peer.changes_since(own.revision()).expect("known");
+    let received = peer.changes_since(own.revision()).expect("known");
     let came = DirectoryChange::Changed(backend(2, false));
     assert!(own.apply(10, changes(15, vec![came]), Vanishing::Gone));
-    assert!(!own.apply_told(10, told, Vanishing::Gone), "it leaves out that the other one went");
+    assert!(!own.apply_told(10, received, Vanishing::Gone), "it leaves out that the other one went");
     // Asked again from where it stands, the peer knows no changes that lead on from there.
     assert_eq!(peer.changes_since(own.revision()), None);
     assert!(own.replace(peer.snapshot(), Vanishing::Gone));
@@ -321,7 +321,7 @@
 
 /// Guards against a list that is wrong at the store's newest revision and therefore never replaced.
 #[test]
-fn a_reading_of_the_same_revision_replaces_a_list_that_differs() {
+fn a_read_of_the_same_revision_replaces_a_list_that_differs() {
     let mut directory = listed(10, vec![backend(1, false)]);
     // A watch told a later revision without the change that led to it.
     directory.apply(10, changes(20, Vec::new()), Vanishing::Gone);
@@ -329,7 +329,7 @@
     assert!(!directory.clone().replace(read.clone(), Vanishing::Gone), "what peers tell is newer or nothing");
     assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Changed);
     assert_eq!(directory.snapshot(), read);
-    assert_eq!(directory.changes_since(10), None, "nobody else is told what led to it");
+    assert_eq!(directory.changes_since(10), None, "the changes that led to it are not sent to peers");
     assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Confirmed);
     let older = DirectorySnapshot { revision: 19, backends: vec![backend(1, false)] };
     assert_eq!(directory.correct(older, Vanishing::Gone), Correction::Outdated);
--- a/crates/beamwall-gateway/tests/event_stream.rs
+++ b/crates/beamwall-gateway/tests/event_stream.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn whole_events_come_out_and_the_rest_stays() {
+fn whole_events_are_returned_and_the_rest_is_kept() {
     let (ids, bytes, rest) =
         split(&[b"id: 1\ndata: a\n\nx-weight-versions: 3\nid: 2\ndata: b\r\n\r\nid: 3\nda"]);
     assert_eq!(ids, [Some(1), Some(2)]);
@@ -26,25 +26,25 @@
 }
 
 #[test]
-fn events_without_a_number_pass() {
+fn events_without_an_id_are_returned() {
     let (ids, _, rest) = split(&[b": comment\n\ndata: x\n\n"]);
     assert_eq!(ids, [None, None]);
     assert!(rest.is_empty());
 }
 
 #[test]
-fn any_cut_of_the_bytes_gives_the_same_events() {
+fn any_split_of_the_bytes_gives_the_same_events() {
     on_seeds(2_000, |random| {
         let count = random.int_in_range(0..=6_u64)?;
         let text: String =
             (1..=count).map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id as usize))).collect();
         let bytes = text.as_bytes();
-        let mut cuts = vec![0, bytes.len()];
+        let mut split_points = vec![0, bytes.len()];
         for _ in 0..random.int_in_range(0..=5)? {
-            cuts.push(random.int_in_range(0..=bytes.len())?);
+            split_points.push(random.int_in_range(0..=bytes.len())?);
         }
-        cuts.sort_unstable();
-        let pieces: Vec<&[u8]> = cuts.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
+        split_points.sort_unstable();
+        let pieces: Vec<&[u8]> = split_points.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
         let (ids, passed, rest) = split(&pieces);
         assert_eq!(ids, (1..=count).map(Some).collect::<Vec<_>>());
         assert_eq!((passed, rest.is_empty()), (bytes.to_vec(), true));
--- a/crates/beamwall-gateway/tests/list_doubts.rs
+++ b/crates/beamwall-gateway/tests/list_doubts.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_back_end_that_can_not_be_reached_for_long_raises_a_doubt_and_one_that_answers_does_not() {
+fn a_back_end_unreachable_for_long_raises_a_doubt_and_one_that_answers_does_not() {
     let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1, 2]), Instant::now());
     for tenth in 0..30 {
         let now = now + SECOND * tenth / 10;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_back_end_that_left_the_list_or_was_not_tried_for_long_raises_none() {
+fn a_back_end_unlisted_or_not_tried_for_long_raises_no_doubt() {
     let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     for second in 0..4 {
         doubts.note_unreached(&"b1".into(), now + SECOND * second);
@@ -71,23 +71,23 @@
 
 /// Readings that find nothing new come at longer and longer pauses: a machine that vanished stays listed for a while.
 #[test]
-fn readings_that_find_nothing_become_rare() {
-    let (doubts, directory, begun) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
-    let mut readings = 0;
+fn reads_that_find_no_change_become_rare() {
+    let (doubts, directory, start) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+    let mut read_count = 0;
     for tenth in 0..6_000 {
-        let now = begun + SECOND * tenth / 10;
+        let now = start + SECOND * tenth / 10;
         doubts.note_unreached(&"b1".into(), now);
         if doubts.reason(&directory, true, now).is_some() {
             doubts.note_read(false, now);
-            readings += 1;
+            read_count += 1;
         }
     }
-    assert!((8..=16).contains(&readings), "{readings} readings in ten minutes");
+    assert!((8..=16).contains(&read_count), "{read_count} reads in ten minutes");
 }
 
 /// The load of one node that differs in a zone of many: it reads, and so do those that watch for the zone; nobody else does.
 #[test]
-fn of_many_nodes_those_that_watch_and_the_one_that_differs_read() {
+fn only_watchers_and_the_node_that_differs_read_the_list() {
     let (right, wrong, now) = (listed(5, &[1, 2]), listed(5, &[1]), Instant::now());
     let list_of = |node: u16| if node == NODES - 1 { &wrong } else { &right };
     let reads = |node: u16| {
@@ -103,28 +103,28 @@
 }
 
 #[test]
-fn peers_of_other_revisions_or_not_heard_for_long_say_nothing() {
-    let (doubts, held, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+fn peers_at_other_revisions_or_silent_for_long_are_ignored() {
+    let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     doubts.note_peer(peer(1), 4, 99, now);
     doubts.note_peer(peer(2), 6, 99, now);
-    assert_eq!(doubts.reason(&held, true, now + SECOND), None);
+    assert_eq!(doubts.reason(&directory, true, now + SECOND), None);
     doubts.note_peer(peer(3), 5, 99, now);
-    assert_eq!(doubts.reason(&held, true, now + SECOND), Some(Doubt::PeersDiffer(1)));
-    assert_eq!(doubts.reason(&held, true, now + SECOND * 5), None);
+    assert_eq!(doubts.reason(&directory, true, now + SECOND), Some(Doubt::PeersDiffer(1)));
+    assert_eq!(doubts.reason(&directory, true, now + SECOND * 5), None);
 }
 
 #[test]
-fn a_list_that_the_store_gave_differently_is_read_once() {
-    let (doubts, held, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
+fn a_list_that_differs_from_the_store_is_read_once() {
+    let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     doubts.note_store_differs();
-    assert_eq!(doubts.reason(&held, true, now), Some(Doubt::StoreDiffers));
+    assert_eq!(doubts.reason(&directory, true, now), Some(Doubt::StoreDiffers));
     doubts.note_read(true, now);
-    assert_eq!(doubts.reason(&held, true, now + SECOND * 9), None);
+    assert_eq!(doubts.reason(&directory, true, now + SECOND * 9), None);
 }
 
 /// Guards against a leaving back end, which refuses connections as it ends, being taken for a fault of the list.
 #[test]
-fn a_leaving_back_end_that_refuses_raises_none() {
+fn a_draining_back_end_that_refuses_connections_raises_no_doubt() {
     let (doubts, mut directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     let leaving = DirectoryChange::Changed(Backend { draining: true, ..backend(1) });
     directory.apply(5, DirectoryChanges { revision: 6, changes: vec![leaving] }, Vanishing::Gone);
--- a/crates/beamwall-gateway/tests/losses.rs
+++ b/crates/beamwall-gateway/tests/losses.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_back_end_that_lives_is_probed_again_at_its_next_loss() {
+fn a_running_back_end_is_probed_again_at_its_next_loss() {
     let losses = LostAnswers::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     assert_eq!(losses.note(&engine.id, request("a"), now), NextStep::Probe);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_was_lost_long_ago_does_not_count() {
+fn losses_from_long_ago_are_ignored() {
     let losses = LostAnswers::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     losses.note(&engine.id, request("a"), now);
@@ -60,6 +60,6 @@
 }
 
 #[test]
-fn one_that_lost_nothing_here_ends_without_a_word() {
+fn a_back_end_without_lost_answers_terminates_without_suspects() {
     assert_eq!(LostAnswers::default().end(&BackendId::new("i-1")), []);
 }
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -24,20 +24,20 @@
 }
 
 /// A prompt of one part that no other request has.
-fn own_prompt(tokens: u32, number: u64) -> Prompt {
+fn unique_prompt(tokens: u32, number: u64) -> Prompt {
     Prompt { prompt_tokens: tokens, output_tokens: 10, parts: vec![PromptPart { id: number, tokens }] }
 }
 
 /// What a node knows that was told of the engines.
 fn knowledge() -> Knowledge {
     let knowledge = Knowledge::default();
-    support::teach(&knowledge.models, support::observed());
+    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     knowledge
 }
 
 /// Time that an engine takes to read a whole prompt.
 fn reading_ms(tokens: u64) -> f64 {
-    support::reading_ms(Reading::of_rest(0, tokens))
+    support::prefill_ms(Reading::of_rest(0, tokens))
 }
 
 fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, avoided: &[BackendId]) -> BackendId {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn prompts_placed_at_one_engine_are_read_one_after_another() {
+fn prompts_placed_at_one_engine_are_prefilled_one_after_another() {
     let queues = ReadingQueues::default();
     let (engine, now) = (BackendId::from("e0"), Instant::now());
     queues.add(&engine, 100.0, now);
@@ -74,7 +74,7 @@
 /// On a large deployment nodes tell their open requests up to a second later; until then the node that places for
 /// all sent one request after another to the engine that looked idle.
 #[test]
-fn what_was_placed_counts_as_open_until_it_is_told() {
+fn placed_requests_count_as_open_until_they_are_reported() {
     let queues = ReadingQueues::default();
     let (engine, now) = (BackendId::from("e0"), Instant::now());
     queues.add(&engine, 1.0, now);
@@ -84,9 +84,9 @@
     assert_eq!(queues.untold(&"e1".into(), now), 0);
     // Prompts that take no time to read: only what runs tells the engines apart.
     let (directory, knowledge) = (directory(2), knowledge());
-    let first = place(&knowledge, &directory, &own_prompt(1, 1), &[]);
+    let first = place(&knowledge, &directory, &unique_prompt(1, 1), &[]);
     (0..3).for_each(|_| knowledge.queues.add(&first, 0.0, Instant::now()));
-    assert_ne!(place(&knowledge, &directory, &own_prompt(1, 2), &[]), first);
+    assert_ne!(place(&knowledge, &directory, &unique_prompt(1, 2), &[]), first);
 }
 
 /// Whatever arrives, the chosen engine is the one that is free first in truth.
@@ -96,22 +96,27 @@
         let engines = random.int_in_range(1..=12_usize)?;
         let (directory, knowledge) = (directory(engines), Knowledge::default());
         // In this truth the time to begin depends on what is read before alone.
-        support::teach(&knowledge.models, support::observed_with(0.0));
+        support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
         let mut free_at_ms: HashMap<BackendId, f64> = HashMap::new();
         let start = Instant::now();
         for number in 0..random.int_in_range(1..=40_u64)? {
-            let prompt = own_prompt(random.int_in_range(32..=20_000)?, number);
+            let prompt = unique_prompt(random.int_in_range(32..=20_000)?, number);
             let now = Instant::now();
             let now_ms = now.duration_since(start).as_secs_f64() * 1_000.0;
-            let waiting =
+            let wait_ms =
                 |engine: &BackendId| (free_at_ms.get(engine).copied().unwrap_or(0.0) - now_ms).max(0.0);
             let chosen = place(&knowledge, &directory, &prompt, &[]);
-            let least = directory.backends().map(|backend| waiting(&backend.id)).fold(f64::MAX, f64::min);
+            let shortest_wait_ms =
+                directory.backends().map(|backend| wait_ms(&backend.id)).fold(f64::MAX, f64::min);
             // Queues are told in whole tokens and go on while the test runs.
-            assert!(waiting(&chosen) <= least + 1.0, "{} instead of {least}", waiting(&chosen));
+            assert!(
+                wait_ms(&chosen) <= shortest_wait_ms + 1.0,
+                "{} instead of {shortest_wait_ms}",
+                wait_ms(&chosen)
+            );
             let reading_ms = reading_ms(u64::from(prompt.prompt_tokens));
             knowledge.queues.add(&chosen, reading_ms, now);
-            let begin = now_ms + waiting(&chosen);
+            let begin = now_ms + wait_ms(&chosen);
             free_at_ms.insert(chosen, begin + reading_ms);
         }
         Ok(())
@@ -122,13 +127,13 @@
 fn avoided_engines_are_not_chosen() {
     let (directory, knowledge) = (directory(2), knowledge());
     for number in 0..10 {
-        let chosen = place(&knowledge, &directory, &own_prompt(100, number), &["e0".into()]);
+        let chosen = place(&knowledge, &directory, &unique_prompt(100, number), &["e0".into()]);
         assert_eq!(chosen.as_str(), "e1");
     }
 }
 
 #[test]
-fn engines_that_could_not_be_reached_are_told_for_a_moment() {
+fn unreachable_engines_are_reported_for_a_short_time() {
     let (health, now) = (HealthBook::default(), Instant::now());
     health.note_unreachable(&"e0".into(), now);
     health.note(&"e1".into(), true, now);
@@ -137,15 +142,16 @@
 }
 
 #[test]
-fn the_rest_of_a_long_prompt_takes_longer_to_read() {
+fn the_end_of_a_long_prompt_takes_longer_to_prefill() {
     assert_eq!(Reading::of_rest(0, 500), Reading { tokens: 500, pairs: 125_000 });
     assert_eq!(Reading::of_rest(6_000, 0), Reading::default());
     assert_eq!(Reading::of_rest(6_000, 3_000), Reading { tokens: 3_000, pairs: 22_500_000 });
-    let estimates = support::observed().estimates();
+    let estimates = support::typical_statistics().estimates();
     for (kept, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
         let reading = Reading::of_rest(kept, unread);
-        let (learnt, truth) = (estimates.reading_ms(reading).expect("known"), support::reading_ms(reading));
-        assert!((learnt / truth - 1.0).abs() < 0.05, "{learnt} instead of {truth} for {reading:?}");
+        let (estimated, actual) =
+            (estimates.reading_ms(reading).expect("known"), support::prefill_ms(reading));
+        assert!((estimated / actual - 1.0).abs() < 0.05, "{estimated} instead of {actual} for {reading:?}");
     }
 }
 
@@ -160,18 +166,18 @@
         knowledge.queues.add(engine, reading_ms(tokens), now);
     }
     for number in 0..10 {
-        assert_eq!(place(&knowledge, &directory, &own_prompt(500, number), &[]), short);
+        assert_eq!(place(&knowledge, &directory, &unique_prompt(500, number), &[]), short);
     }
 }
 
 /// A crashed engine has nothing to read; when it was found out node by node, each sent several requests there.
 #[test]
-fn an_engine_that_two_nodes_could_not_reach_is_avoided_for_all() {
+fn an_engine_that_two_nodes_could_not_reach_is_avoided_by_all() {
     let (directory, knowledge) = (directory(2), knowledge());
     let (crashed, busy): (BackendId, BackendId) = ("e0".into(), "e1".into());
     let now = Instant::now();
     knowledge.queues.add(&busy, reading_ms(10_000), now);
-    let prompt = own_prompt(500, 1);
+    let prompt = unique_prompt(500, 1);
     assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed);
     knowledge.reports.note(&"n1".into(), std::slice::from_ref(&crashed), now);
     assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed, "one node may be cut off itself");
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -37,16 +37,16 @@
 
 fn knowledge() -> Knowledge {
     let knowledge = Knowledge::default();
-    support::teach(&knowledge.models, support::observed_with(0.0));
+    support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
     knowledge
 }
 
-fn own_prompt(tokens: u32, number: u64) -> Prompt {
+fn unique_prompt(tokens: u32, number: u64) -> Prompt {
     Prompt { prompt_tokens: tokens, output_tokens: 10, parts: vec![PromptPart { id: number, tokens }] }
 }
 
 fn reading_ms(tokens: u32) -> f64 {
-    support::reading_ms(Reading::of_rest(0, u64::from(tokens)))
+    support::prefill_ms(Reading::of_rest(0, u64::from(tokens)))
 }
 
 fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
@@ -69,14 +69,14 @@
 }
 
 /// Who places a prompt, and in which group.
-trait Division {
+trait PlacementScheme {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId;
 }
 
 /// Several nodes that each place a part of the prompts at all engines.
-struct Blind(Vec<Knowledge>);
+struct Uncoordinated(Vec<Knowledge>);
 
-impl Division for Blind {
+impl PlacementScheme for Uncoordinated {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
         let node = &self.0[random as usize % self.0.len()];
         place(node, directory, prompt, EngineGroup::WHOLE)
@@ -86,7 +86,7 @@
 /// A node for each group of engines.
 struct Grouped(Vec<Knowledge>);
 
-impl Division for Grouped {
+impl PlacementScheme for Grouped {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
         let groups = groups_of(directory).in_order(prompt, random);
         place(&self.0[groups[0].number as usize], directory, prompt, groups[0])
@@ -94,7 +94,7 @@
 }
 
 /// The wait of 90 in 100 prompts before their engine reads them, in milliseconds.
-async fn wait_of_90_ms(division: impl Division) -> f64 {
+async fn wait_p90_ms(scheme: impl PlacementScheme) -> f64 {
     let directory = directory(ENGINES);
     let mut random = SmallRng::seed_from_u64(7);
     let mean_ms = LENGTHS.iter().map(|tokens| reading_ms(*tokens)).sum::<f64>() / LENGTHS.len() as f64;
@@ -106,30 +106,30 @@
         tokio::time::advance(Duration::from_secs_f64(pause / 1_000.0)).await;
         let now = Instant::now();
         let tokens = LENGTHS[random.random_range(0..LENGTHS.len())];
-        let chosen = division.place(&directory, &own_prompt(tokens, number), random.random());
+        let chosen = scheme.place(&directory, &unique_prompt(tokens, number), random.random());
         let free = free_at.entry(chosen).or_insert(now);
-        let begins = (*free).max(now);
-        *free = begins + Duration::from_secs_f64(reading_ms(tokens) / 1_000.0);
-        waits.push((begins - now).as_secs_f64() * 1_000.0);
+        let starts = (*free).max(now);
+        *free = starts + Duration::from_secs_f64(reading_ms(tokens) / 1_000.0);
+        waits.push((starts - now).as_secs_f64() * 1_000.0);
     }
     waits.sort_by(f64::total_cmp);
     waits[PROMPTS * 9 / 10]
 }
 
 #[tokio::test(start_paused = true)]
-async fn prompts_wait_hardly_where_each_group_of_engines_has_a_node_of_its_own() {
-    let groups = groups_of(&directory(ENGINES)).in_order(&own_prompt(1, 1), 1).len();
-    let grouped_ms = wait_of_90_ms(Grouped((0..groups).map(|_| knowledge()).collect())).await;
-    let blind_ms = wait_of_90_ms(Blind((0..5).map(|_| knowledge()).collect())).await;
+async fn prompts_hardly_wait_when_each_group_has_its_own_placer() {
+    let groups = groups_of(&directory(ENGINES)).in_order(&unique_prompt(1, 1), 1).len();
+    let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| knowledge()).collect())).await;
+    let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| knowledge()).collect())).await;
     println!(
-        "90 in 100 prompts wait {grouped_ms:.0} ms at most, {blind_ms:.0} ms where five nodes place blindly"
+        "90 in 100 prompts wait {grouped_ms:.0} ms at most, {uncoordinated_ms:.0} ms where five nodes place blindly"
     );
     assert!(grouped_ms < 20.0, "{grouped_ms}");
-    assert!(blind_ms > 100.0, "{blind_ms}: groups would be needless");
+    assert!(uncoordinated_ms > 100.0, "{uncoordinated_ms}: groups would be needless");
 }
 
 #[test]
-fn every_engine_is_in_one_group_and_few_move_when_their_number_changes() {
+fn every_engine_is_in_one_group_and_few_move_when_the_group_count_changes() {
     let engines: Vec<BackendId> = (0..ENGINES).map(|number| format!("e{number}").as_str().into()).collect();
     let group_of = |backend: &BackendId, count: u32| {
         let holds = |number: &u32| EngineGroup { number: *number, count }.holds(backend);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn prompts_with_the_same_beginning_go_to_the_same_group() {
+fn prompts_with_the_same_prefix_go_to_the_same_group() {
     let directory = directory(ENGINES);
     let groups = groups_of(&directory);
     let prompt = |shared: u64, own: u64| Prompt {
@@ -161,14 +161,14 @@
 
 #[test]
 fn a_small_service_is_one_group() {
-    let order = groups_of(&directory(12)).in_order(&own_prompt(1, 1), 5);
+    let order = groups_of(&directory(12)).in_order(&unique_prompt(1, 1), 5);
     assert_eq!(order, [EngineGroup::WHOLE]);
-    assert_eq!(EngineGroups::new(Vec::new()).in_order(&own_prompt(1, 1), 5).len(), 1);
+    assert_eq!(EngineGroups::new(Vec::new()).in_order(&unique_prompt(1, 1), 5).len(), 1);
     assert!(directory(0).groups(&"pool".into()).is_none());
 }
 
 #[test]
-fn the_engines_of_a_group_are_found_whatever_division_is_asked_for() {
+fn the_engines_of_a_group_are_found_for_any_number_of_groups() {
     let directory = directory(ENGINES);
     for count in [1, 2, 3, 7] {
         let mut found = Vec::new();
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -28,7 +28,7 @@
     Backend { draining, ..support::backend(name) }
 }
 
-fn list(directory: &ArcSwap<Directory>, revision: u64, backends: Vec<Backend>) {
+fn update_directory(directory: &ArcSwap<Directory>, revision: u64, backends: Vec<Backend>) {
     let mut listed = Directory::clone(&directory.load());
     assert!(listed.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
     directory.store(Arc::new(listed));
@@ -47,10 +47,10 @@
 }
 
 #[tokio::test]
-async fn engines_that_refuse_connections_after_they_lost_an_answer_have_ended() {
+async fn engines_that_refuse_connections_after_losing_an_answer_count_as_terminated() {
     let (quarantine, directory) = quarantine();
     let names = ["i-1", "i-2", "i-3"];
-    list(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
+    update_directory(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
     for name in names {
         assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
         quarantine.note_lost(request(), &BackendId::new(name));
@@ -60,16 +60,16 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_leaves_ends_on_its_own_account() {
+async fn the_termination_of_a_draining_engine_is_not_blamed_on_requests() {
     let (quarantine, directory) = quarantine();
     let names = ["i-1", "i-2", "i-3", "i-4"];
-    list(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
+    update_directory(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
     // It announces its leaving before the answer is lost, or before it is known to have ended.
-    list(&directory, 2, names.iter().map(|name| backend(name, *name < "i-3")).collect());
+    update_directory(&directory, 2, names.iter().map(|name| backend(name, *name < "i-3")).collect());
     for name in names {
         quarantine.note_lost(request(), &BackendId::new(name));
     }
-    list(&directory, 3, names.iter().map(|name| backend(name, true)).collect());
+    update_directory(&directory, 3, names.iter().map(|name| backend(name, true)).collect());
     for name in names {
         quarantine.note_ended(&BackendId::new(name));
     }
--- a/crates/beamwall-gateway/tests/quota_fleet.rs
+++ b/crates/beamwall-gateway/tests/quota_fleet.rs
@@ -9,7 +9,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use beamwall_gateway::quota::{QuotaBook, Sharing, Tolerance};
+use beamwall_gateway::quota::{QuotaLimiter, QuotaMembership, Tolerance};
 use beamwall_model::{NodeId, TenantName, ZoneName};
 use beamwall_policy::Tenant;
 use beamwall_seeds::on_seeds;
@@ -32,7 +32,7 @@
 /// Time between two steps of the fleet.
 const STEP: Duration = Duration::from_millis(100);
 /// Steps between two tellings of a node or of a relay.
-const STEPS_TO_TELL: usize = 10;
+const STEPS_PER_REPORT: usize = 10;
 
 fn tenant() -> Tenant {
     Tenant {
@@ -47,48 +47,58 @@
 }
 
 /// A book that uses what gateways use of what is tolerated.
-fn open_book(nodes: usize) -> QuotaBook {
-    let tolerance = Tolerance { usual: OVERAGE * 0.05, in_window: OVERAGE, at_start: 0.0, window: WINDOW };
-    QuotaBook::new(SLACK / 2.0, nodes).tolerating(tolerance)
+fn new_limiter(nodes: usize) -> QuotaLimiter {
+    let tolerance =
+        Tolerance { sustained: OVERAGE * 0.05, in_window: OVERAGE, at_start: 0.0, window: WINDOW };
+    QuotaLimiter::new(SLACK / 2.0, nodes).with_tolerance(tolerance)
 }
 
 /// Gateways in zones, with what they told and did not yet.
 struct Fleet {
     zones: usize,
-    books: Vec<QuotaBook>,
-    passed: Vec<(Instant, f64)>,
+    limiters: Vec<QuotaLimiter>,
+    admitted: Vec<(Instant, f64)>,
     /// Nodes that let work pass since they told their zone.
-    untold: Vec<bool>,
+    unreported: Vec<bool>,
     /// Nodes that tell their zone in the next step.
     urgent: Vec<usize>,
     /// Zones that are cut off, and so are told nothing and tell nothing.
-    cut: Option<usize>,
+    cut_off_zone: Option<usize>,
     now: Instant,
     step: usize,
 }
 
 impl Fleet {
     /// Gateways with these books, none of which has told anything.
-    fn of(books: Vec<QuotaBook>, zones: usize, now: Instant) -> Self {
-        let untold = vec![true; books.len()];
-        Self { zones, books, passed: Vec::new(), untold, urgent: Vec::new(), cut: None, now, step: 0 }
+    fn with_limiters(limiters: Vec<QuotaLimiter>, zones: usize, now: Instant) -> Self {
+        let unreported = vec![true; limiters.len()];
+        Self {
+            zones,
+            limiters,
+            admitted: Vec::new(),
+            unreported,
+            urgent: Vec::new(),
+            cut_off_zone: None,
+            now,
+            step: 0,
+        }
     }
 
     /// `nodes` gateways in `zones` zones that have known their tenant for long.
-    fn full(nodes: usize, zones: usize) -> Self {
+    fn with_full_buckets(nodes: usize, zones: usize) -> Self {
         let now = Instant::now();
-        let close = nodes / zones;
-        let sharing = Sharing { heard: nodes, known: nodes, close };
-        let open = |_| {
-            let book = open_book(nodes);
-            book.share(sharing, &[tenant()], now);
-            book.share(sharing, &[tenant()], now + Duration::from_secs(10));
-            book
+        let direct = nodes / zones;
+        let membership = QuotaMembership { reachable: nodes, known: nodes, direct };
+        let new_node = |_| {
+            let limiter = new_limiter(nodes);
+            limiter.set_membership(membership, &[tenant()], now);
+            limiter.set_membership(membership, &[tenant()], now + Duration::from_secs(10));
+            limiter
         };
-        let books = (0..nodes).map(open).collect();
-        let mut fleet = Self::of(books, zones, now + Duration::from_secs(10));
-        (0..nodes).for_each(|node| fleet.tell(node));
-        fleet.tell_zone_sums();
+        let limiters = (0..nodes).map(new_node).collect();
+        let mut fleet = Self::with_limiters(limiters, zones, now + Duration::from_secs(10));
+        (0..nodes).for_each(|node| fleet.report_node(node));
+        fleet.report_zone_sums();
         fleet
     }
 
@@ -96,15 +106,15 @@
         node % self.zones
     }
 
-    fn nodes_of(&self, zone: usize) -> impl Iterator<Item = usize> {
-        (zone..self.books.len()).step_by(self.zones)
+    fn nodes_in_zone(&self, zone: usize) -> impl Iterator<Item = usize> {
+        (zone..self.limiters.len()).step_by(self.zones)
     }
 
     /// Sends work to a node; whether it passed.
     fn send(&mut self, node: usize, amount: f64) -> bool {
-        let Ok(charge) = self.books[node].charge(&tenant(), amount, self.now) else { return false };
-        self.passed.push((self.now, amount));
-        self.untold[node] = true;
+        let Ok(charge) = self.limiters[node].charge(&tenant(), amount, self.now) else { return false };
+        self.admitted.push((self.now, amount));
+        self.unreported[node] = true;
         if charge.is_some_and(|charge| charge.is_urgent) {
             self.urgent.push(node);
         }
@@ -116,66 +126,70 @@
         self.now += STEP;
         self.step += 1;
         for node in std::mem::take(&mut self.urgent) {
-            self.tell(node);
+            self.report_node(node);
         }
-        for node in 0..self.books.len() {
-            if node / self.zones % STEPS_TO_TELL == self.step % STEPS_TO_TELL {
-                self.tell(node);
+        for node in 0..self.limiters.len() {
+            if node / self.zones % STEPS_PER_REPORT == self.step % STEPS_PER_REPORT {
+                self.report_node(node);
             }
         }
-        if self.step.is_multiple_of(STEPS_TO_TELL) {
-            self.tell_zone_sums();
+        if self.step.is_multiple_of(STEPS_PER_REPORT) {
+            self.report_zone_sums();
         }
     }
 
     /// Tells a node's zone what it let pass. Nodes that let nothing pass have nothing new to tell.
-    fn tell(&mut self, node: usize) {
-        if !std::mem::take(&mut self.untold[node]) {
+    fn report_node(&mut self, node: usize) {
+        if !std::mem::take(&mut self.unreported[node]) {
             return;
         }
-        let uses: HashMap<TenantName, f64> = self.books[node].tell().into_iter().collect();
+        let usage: HashMap<TenantName, f64> = self.limiters[node].take_report().into_iter().collect();
         let name = NodeId::new(format!("n{node}"));
-        for peer in self.nodes_of(self.zone_of(node)).filter(|peer| *peer != node) {
-            self.books[peer].hear(&name, 1, uses.clone(), self.now);
+        for peer in self.nodes_in_zone(self.zone_of(node)).filter(|peer| *peer != node) {
+            self.limiters[peer].merge_node_usage(&name, 1, usage.clone(), self.now);
         }
     }
 
-    fn tell_zone_sums(&mut self) {
+    fn report_zone_sums(&mut self) {
         for zone in 0..self.zones {
             // The first node of a zone is its relay.
-            let sum: HashMap<TenantName, f64> = self.books[zone].sum_of_nodes().into_iter().collect();
+            let sum: HashMap<TenantName, f64> = self.limiters[zone].sum_of_nodes().into_iter().collect();
             let relay = NodeId::new(format!("n{zone}"));
             let name = ZoneName::new(format!("z{zone}"));
-            let is_cut = |other: usize| self.cut.is_some_and(|cut| cut == zone || cut == other);
+            let is_cut = |other: usize| self.cut_off_zone.is_some_and(|cut| cut == zone || cut == other);
             for other in (0..self.zones).filter(|other| *other != zone && !is_cut(*other)) {
-                for peer in self.nodes_of(other) {
-                    self.books[peer].hear_zone(&name, &relay, 1, sum.clone(), self.now);
+                for peer in self.nodes_in_zone(other) {
+                    self.limiters[peer].merge_zone_usage(&name, &relay, 1, sum.clone(), self.now);
                 }
             }
         }
     }
 
     /// Tells all nodes among whom quotas are divided.
-    fn share(&self) {
-        let nodes = self.books.len();
-        let close = nodes / self.zones;
-        for (node, book) in self.books.iter().enumerate() {
-            let heard = match self.cut {
+    fn update_membership(&self) {
+        let nodes = self.limiters.len();
+        let direct = nodes / self.zones;
+        for (node, limiter) in self.limiters.iter().enumerate() {
+            let reachable = match self.cut_off_zone {
                 None => nodes,
-                Some(cut) if cut == self.zone_of(node) => close,
-                Some(_) => nodes - close,
+                Some(cut) if cut == self.zone_of(node) => direct,
+                Some(_) => nodes - direct,
             };
-            book.share(Sharing { heard, known: nodes, close }, &[tenant()], self.now);
+            limiter.set_membership(
+                QuotaMembership { reachable, known: nodes, direct },
+                &[tenant()],
+                self.now,
+            );
         }
     }
 
     /// The most that passed in any window.
-    fn most_in_window(&self) -> f64 {
+    fn max_in_window(&self) -> f64 {
         let in_window = |start: Instant| {
-            let window = self.passed.iter().filter(|(at, _)| *at >= start && *at < start + WINDOW);
+            let window = self.admitted.iter().filter(|(at, _)| *at >= start && *at < start + WINDOW);
             window.map(|(_, amount)| amount).sum::<f64>()
         };
-        let starts = self.passed.iter().step_by(20).map(|(at, _)| *at);
+        let starts = self.admitted.iter().step_by(20).map(|(at, _)| *at);
         starts.map(in_window).fold(0.0, f64::max)
     }
 }
@@ -187,34 +201,34 @@
 
 /// Sends a tenant's work of one step, long prompts and short ones at any node; `owed` is what it has not sent yet. Gives how many
 /// were refused.
-fn send_a_step(
+fn send_step(
     fleet: &mut Fleet,
     rate: f64,
-    owed: &mut f64,
+    backlog: &mut f64,
     random: &mut Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<u32> {
     let mut refused = 0;
-    *owed += rate * STEP.as_secs_f64();
-    while *owed > 0.0 {
+    *backlog += rate * STEP.as_secs_f64();
+    while *backlog > 0.0 {
         let amount = if random.ratio(1, 3)? { LONG } else { SHORT };
-        *owed -= amount;
-        let node = some_node(random, fleet.books.len())?;
+        *backlog -= amount;
+        let node = random_node(random, fleet.limiters.len())?;
         refused += u32::from(!fleet.send(node, amount));
     }
     Ok(refused)
 }
 
-fn some_node(random: &mut Unstructured<'_>, nodes: usize) -> arbtest::arbitrary::Result<usize> {
+fn random_node(random: &mut Unstructured<'_>, nodes: usize) -> arbtest::arbitrary::Result<usize> {
     random.int_in_range(0..=nodes - 1)
 }
 
 /// A gateway of a fleet of 295 that let a long prompt pass a moment ago refused short ones of the same tenant, although
 /// 743,000 tokens were left: its own part of them is a 295th.
 #[test]
-fn a_short_prompt_after_a_long_one_passes_while_most_of_the_quota_is_left() {
-    let mut fleet = Fleet::full(295, 5);
+fn a_short_prompt_after_a_long_one_is_admitted_while_most_of_the_quota_is_left() {
+    let mut fleet = Fleet::with_full_buckets(295, 5);
     assert!(fleet.send(17, LONG));
-    assert!(fleet.send(17, SHORT), "a tenant that uses a thirteenth of what it saved up is within its limit");
+    assert!(fleet.send(17, SHORT), "a tenant that has used a thirteenth of its burst is within its limit");
     assert!(fleet.send(17, LONG));
 }
 
@@ -224,18 +238,18 @@
     zones: usize,
     random: &mut Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<u32> {
-    let mut fleet = Fleet::full(nodes, zones);
+    let mut fleet = Fleet::with_full_buckets(nodes, zones);
     let mut refused = 0;
-    let mut owed = 0.0;
+    let mut backlog = 0.0;
     for _ in 0..50 {
-        refused += send_a_step(&mut fleet, RATE * 0.55, &mut owed, random)?;
+        refused += send_step(&mut fleet, RATE * 0.55, &mut backlog, random)?;
         fleet.advance();
     }
     Ok(refused)
 }
 
 #[test]
-fn nothing_is_refused_to_a_tenant_within_its_limit_however_many_nodes_share_it() {
+fn a_tenant_within_its_limit_is_never_refused_at_any_fleet_size() {
     for (nodes, zones, cases) in [(6, 1, 9_000), (77, 4, 1_700), (295, 5, 250)] {
         on_seeds(cases, |random| {
             let refused = refused_within_limit(nodes, zones, random)?;
@@ -246,7 +260,7 @@
 }
 
 #[test]
-fn nothing_is_refused_to_a_tenant_within_its_limit_at_the_planned_size() {
+fn a_tenant_within_its_limit_is_never_refused_at_the_planned_size() {
     on_seeds(5, |random| {
         let refused = refused_within_limit(2_700, 25, random)?;
         assert_eq!(refused, 0, "{refused} requests were refused at 2,700 nodes");
@@ -255,29 +269,29 @@
 }
 
 /// A tenant at half of its rate jumps to one to five times its rate at once: the most in a window, and its limit.
-fn most_after_jump(
+fn max_after_jump(
     nodes: usize,
     zones: usize,
     random: &mut Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<(f64, f64)> {
-    let mut fleet = Fleet::full(nodes, zones);
+    let mut fleet = Fleet::with_full_buckets(nodes, zones);
     let jump = f64::from(random.int_in_range(1..=5_u32)?);
     let jump_at = random.int_in_range(5..=40_usize)?;
-    let mut owed = 0.0;
+    let mut backlog = 0.0;
     for step in 0..120 {
         let factor = if step < jump_at { 0.5 } else { jump };
-        send_a_step(&mut fleet, RATE * factor, &mut owed, random)?;
+        send_step(&mut fleet, RATE * factor, &mut backlog, random)?;
         fleet.advance();
     }
-    Ok((fleet.most_in_window(), bound()))
+    Ok((fleet.max_in_window(), bound()))
 }
 
 #[test]
-fn a_tenant_that_jumps_beyond_its_limit_stays_within_what_is_tolerated() {
+fn a_rate_jump_beyond_the_limit_stays_within_the_tolerance() {
     for (nodes, zones, cases) in [(6, 1, 2_500), (77, 4, 800), (295, 5, 300)] {
         on_seeds(cases, |random| {
-            let (most, bound) = most_after_jump(nodes, zones, random)?;
-            assert!(most <= bound, "{most} of {bound} in a window at {nodes} nodes");
+            let (max_admitted, bound) = max_after_jump(nodes, zones, random)?;
+            assert!(max_admitted <= bound, "{max_admitted} of {bound} in a window at {nodes} nodes");
             Ok(())
         });
     }
@@ -286,8 +300,8 @@
 /// Holds a jump that was once beyond the bound at 295 gateways.
 fn assert_jump_is_within_the_bound(seed: u64) {
     arbtest(|random| {
-        let (most, bound) = most_after_jump(295, 5, random)?;
-        assert!(most <= bound, "{most} of {bound} in a window");
+        let (max_admitted, bound) = max_after_jump(295, 5, random)?;
+        assert!(max_admitted <= bound, "{max_admitted} of {bound} in a window");
         Ok(())
     })
     .seed(seed);
@@ -295,7 +309,7 @@
 
 /// 666,800 passed in a window of 666,000.
 #[test]
-fn a_jump_to_five_times_the_rate_that_was_once_beyond_the_bound_is_within_it() {
+fn a_jump_to_five_times_the_rate_stays_within_the_bound() {
     assert_jump_is_within_the_bound(0x1d67_2718_0000_3e9a);
 }
 
@@ -308,98 +322,99 @@
 
 /// Guards against: what others let pass is paid from a rest that came before it, in which the account was full.
 #[test]
-fn a_rest_does_not_pay_for_what_others_let_pass_after_it() {
+fn idle_time_does_not_offset_work_that_peers_admit_afterwards() {
     let start = Instant::now();
-    let book = QuotaBook::new(0.0, 2);
+    let limiter = QuotaLimiter::new(0.0, 2);
     let peer = NodeId::new("n1");
-    let hear = |amount: f64, now| book.hear(&peer, 1, HashMap::from([("alder".into(), amount)]), now);
-    book.share(Sharing::small(2, 2), &[tenant()], start);
+    let report_peer =
+        |amount: f64, now| limiter.merge_node_usage(&peer, 1, HashMap::from([("alder".into(), amount)]), now);
+    limiter.set_membership(QuotaMembership::full_mesh(2, 2), &[tenant()], start);
     let full = start + Duration::from_secs(10);
-    book.share(Sharing::small(2, 2), &[tenant()], full);
-    hear(0.0, full);
+    limiter.set_membership(QuotaMembership::full_mesh(2, 2), &[tenant()], full);
+    report_peer(0.0, full);
     let after_rest = full + Duration::from_secs(5);
     // All that was saved up, and what is gained in the second and a half before the telling: longer than a telling takes.
-    hear(BURST + 1.5 * RATE, after_rest);
-    assert!(book.charge(&tenant(), SHORT, after_rest).is_err(), "all that was saved up has passed");
+    report_peer(BURST + 1.5 * RATE, after_rest);
+    assert!(limiter.charge(&tenant(), SHORT, after_rest).is_err(), "the whole burst has been used");
 }
 
 /// While a zone is silent its part of the rate is withheld. Once it is heard again and has told what it let pass, the
 /// rest is the tenant's: the other zones kept it from it for good.
 #[test]
-fn what_was_withheld_for_a_silent_zone_is_given_up_once_all_are_heard() {
-    let mut fleet = Fleet::full(50, 5);
+fn quota_withheld_for_a_silent_zone_is_released_once_all_zones_report() {
+    let mut fleet = Fleet::with_full_buckets(50, 5);
     // All that was saved up is used, and the silent zone serves nothing.
     for _ in 0..60 {
         for node in 0..50 {
             fleet.send(node, 2_000.0);
         }
         fleet.advance();
-        fleet.share();
+        fleet.update_membership();
     }
-    fleet.cut = Some(0);
+    fleet.cut_off_zone = Some(0);
     for _ in 0..40 {
         fleet.advance();
-        fleet.share();
+        fleet.update_membership();
         for node in (0..50).filter(|node| node % 5 != 0) {
             fleet.send(node, 2_000.0);
         }
     }
-    fleet.cut = None;
+    fleet.cut_off_zone = None;
     for _ in 0..30 {
         fleet.advance();
-        fleet.share();
+        fleet.update_membership();
     }
     // 48,000 were withheld: four seconds of a fifth of the rate.
-    let passed: f64 = fleet.passed.iter().map(|(_, amount)| amount).sum();
+    let admitted: f64 = fleet.admitted.iter().map(|(_, amount)| amount).sum();
     let gained = RATE * STEP.as_secs_f64() * fleet.step as f64;
-    let left = BURST + gained - passed;
-    let level = fleet.books[1].levels()[0].1;
+    let left = BURST + gained - admitted;
+    let level = fleet.limiters[1].levels()[0].1;
     assert!(level >= left - 10_000.0, "{level} of {left} may pass now");
 }
 
 /// What passed longer ago than it is kept would be missing in such a window.
 #[test]
-fn over_windows_longer_than_work_is_kept_nodes_keep_to_their_parts() {
+fn with_windows_longer_than_the_history_nodes_keep_to_their_shares() {
     let start = Instant::now();
-    let passes_twice = |window: Duration| {
-        let tolerance = Tolerance { usual: 0.0, in_window: OVERAGE, at_start: 0.0, window };
-        let book = QuotaBook::new(0.0, 295).tolerating(tolerance);
-        let sharing = Sharing { heard: 295, known: 295, close: 59 };
-        book.share(sharing, &[tenant()], start);
+    let admits_twice = |window: Duration| {
+        let tolerance = Tolerance { sustained: 0.0, in_window: OVERAGE, at_start: 0.0, window };
+        let limiter = QuotaLimiter::new(0.0, 295).with_tolerance(tolerance);
+        let membership = QuotaMembership { reachable: 295, known: 295, direct: 59 };
+        limiter.set_membership(membership, &[tenant()], start);
         let now = start + Duration::from_secs(10);
-        let charge = || book.charge(&tenant(), LONG, now).is_ok();
+        let charge = || limiter.charge(&tenant(), LONG, now).is_ok();
         charge() && charge()
     };
-    assert!(passes_twice(WINDOW));
-    assert!(!passes_twice(Duration::from_secs(60)));
+    assert!(admits_twice(WINDOW));
+    assert!(!admits_twice(Duration::from_secs(60)));
 }
 
 /// A caller that is refused because others have not been told yet came back at once, and was refused again.
 #[test]
-fn who_waits_for_others_to_be_told_is_not_asked_back_before_they_are() {
+fn retry_after_covers_the_time_until_peers_have_the_report() {
     let nodes = 59;
     let mut now = Instant::now();
-    let book = open_book(nodes);
-    book.share(Sharing::small(nodes, nodes), &[tenant()], now);
+    let limiter = new_limiter(nodes);
+    limiter.set_membership(QuotaMembership::full_mesh(nodes, nodes), &[tenant()], now);
     // A tenant that has used all that it may for a while.
     for _ in 0..90 {
         now += STEP;
-        while book.charge(&tenant(), SHORT, now).is_ok() {
-            book.tell();
+        while limiter.charge(&tenant(), SHORT, now).is_ok() {
+            limiter.take_report();
         }
     }
     now += STEP;
-    assert!(book.charge(&tenant(), SHORT, now).is_ok());
-    let refused = book.charge(&tenant(), 2_000.0, now).expect_err("beyond the node's part");
-    assert!(refused.fits_when_told);
+    assert!(limiter.charge(&tenant(), SHORT, now).is_ok());
+    let refused = limiter.charge(&tenant(), 2_000.0, now).expect_err("beyond the node's part");
+    assert!(refused.fits_after_report);
     assert!(refused.retry_after >= Duration::from_millis(150), "{:?}", refused.retry_after);
 }
 
 /// Steps until gateways that start together hear each other.
-const STEPS_ALONE: usize = 8;
+const STEPS_ISOLATED: usize = 8;
 
 /// Steps after which all gateways hear each other and each has told what passed.
-const STEPS_UNTIL_TOLD: usize = STEPS_ALONE + STEPS_TO_TELL;
+const STEPS_UNTIL_REPORTED: usize = STEPS_ISOLATED + STEPS_PER_REPORT;
 
 /// Requests refused to a tenant that uses 55 in 100 of its rate, after all gateways have started anew and once they have told each
 /// other what passed.
@@ -410,22 +425,22 @@
 ) -> arbtest::arbitrary::Result<u32> {
     let now = Instant::now();
     let tolerance =
-        Tolerance { usual: OVERAGE * 0.05, in_window: OVERAGE, at_start: OVERAGE * 0.35, window: WINDOW };
-    let alone = Sharing { heard: 1, known: nodes, close: 1 };
-    let open = |_| {
-        let book = QuotaBook::new(SLACK / 2.0, nodes).tolerating(tolerance);
-        book.share(alone, &[tenant()], now);
-        book
+        Tolerance { sustained: OVERAGE * 0.05, in_window: OVERAGE, at_start: OVERAGE * 0.35, window: WINDOW };
+    let isolated = QuotaMembership { reachable: 1, known: nodes, direct: 1 };
+    let new_node = |_| {
+        let limiter = QuotaLimiter::new(SLACK / 2.0, nodes).with_tolerance(tolerance);
+        limiter.set_membership(isolated, &[tenant()], now);
+        limiter
     };
-    let books = (0..nodes).map(open).collect();
-    let mut fleet = Fleet::of(books, zones, now);
-    let (mut refused, mut owed) = (0, 0.0);
+    let limiters = (0..nodes).map(new_node).collect();
+    let mut fleet = Fleet::with_limiters(limiters, zones, now);
+    let (mut refused, mut backlog) = (0, 0.0);
     for step in 0..40 {
-        if step >= STEPS_ALONE {
-            fleet.share();
+        if step >= STEPS_ISOLATED {
+            fleet.update_membership();
         }
-        let refused_now = send_a_step(&mut fleet, RATE * 0.55, &mut owed, random)?;
-        if step >= STEPS_UNTIL_TOLD {
+        let refused_now = send_step(&mut fleet, RATE * 0.55, &mut backlog, random)?;
+        if step >= STEPS_UNTIL_REPORTED {
             refused += refused_now;
         }
         fleet.advance();
@@ -436,7 +451,7 @@
 /// Guards against: a tenant within its limit that is refused on and on after a start of all gateways. What is refused before they have
 /// told each other is a target (docs/CAPACITY.md): nobody knows then what passed before the start.
 #[test]
-fn a_tenant_within_its_limit_is_refused_nothing_once_gateways_that_started_have_told_each_other() {
+fn a_tenant_within_its_limit_is_not_refused_once_restarted_gateways_have_exchanged_reports() {
     for (nodes, zones, cases) in [(6, 1, 2_500), (77, 4, 400), (295, 5, 50)] {
         on_seeds(cases, |random| {
             let refused = refused_after_start(nodes, zones, random)?;
--- a/crates/beamwall-gateway/tests/ranks.rs
+++ b/crates/beamwall-gateway/tests/ranks.rs
@@ -17,7 +17,7 @@
 
 /// On busy days of both sites chats, the least urgent kind, waited for seconds behind prompts ten times as long.
 #[test]
-fn a_short_prompt_is_level_with_the_next_more_urgent_kind_and_not_ahead_of_it() {
+fn a_short_prompt_ranks_level_with_the_next_more_urgent_route_and_not_ahead_of_it() {
     assert_eq!(rank(2, None, 700), rank(1, None, 9_000));
     assert!(rank(2, None, 700) > rank(0, None, 9_000));
     assert_eq!(rank(0, None, 700), 0);
@@ -31,19 +31,19 @@
 
 /// What is short depends on the engines: 9,000 tokens are read in 15 ms by fast ones.
 #[test]
-fn a_prompt_is_short_by_the_time_that_it_takes_to_read() {
+fn a_prompt_counts_as_short_by_its_prefill_time() {
     assert_eq!(call(2, None, 9_000).rank(Some(15.0)), 1);
     assert_eq!(call(2, None, 700).rank(Some(70.0)), 2);
     assert_eq!(call(2, None, 700).rank(None), 2, "nothing is known of the engines yet");
 }
 
 #[test]
-fn the_time_left_to_a_caller_runs_on_while_the_machine_sleeps() {
-    let asleep = Duration::from_secs(3);
+fn the_remaining_time_of_a_call_decreases_while_the_machine_is_suspended() {
+    let suspended_for = Duration::from_secs(3);
     let mut call = call(0, None, 100);
     call.deadline = call.received + Duration::from_secs(10);
     let before = call.remaining();
-    beamwall_clock::simulation::suspend_for(asleep);
+    beamwall_clock::simulation::suspend_for(suspended_for);
     let after = call.remaining();
-    assert!(after <= before.saturating_sub(asleep), "{before:?} before, {after:?} after");
+    assert!(after <= before.saturating_sub(suspended_for), "{before:?} before, {after:?} after");
 }
--- a/crates/beamwall-gateway/tests/retries.rs
+++ b/crates/beamwall-gateway/tests/retries.rs
@@ -41,7 +41,7 @@
 
 /// With 77 nodes that each took itself for one of six, 1,013 retries were made where 846 were allowed.
 #[test]
-fn the_extra_is_divided_among_the_nodes_that_are_known() {
+fn the_extra_is_divided_among_the_known_nodes() {
     let (budgets, service, now) = (RetryBudgets::new(earning(), 6), "one".into(), Instant::now());
     take_all(&budgets, &service, now);
     budgets.divide_among(30);
@@ -52,7 +52,7 @@
 /// When a zone's engines went, each of 77 nodes could continue one or two of its twenty streams there: it
 /// could save no more than its part of the extra, whatever it had left unused before.
 #[test]
-fn a_share_of_the_last_windows_requests_is_saved_for_a_burst_of_failures() {
+fn a_share_of_the_last_window_is_saved_for_a_burst_of_failures() {
     let allowance = RetryAllowance { earned_percent: 10, saved_percent: 8, extra: 77.0, window: WINDOW };
     let (budgets, service, start) = (RetryBudgets::new(allowance, 77), "one".into(), Instant::now());
     earn(&budgets, &service, 200, start);
@@ -86,12 +86,12 @@
             retries.extend(std::iter::repeat_n(now, taken));
             let within =
                 |times: &[Instant], from: Instant| times.iter().filter(|at| **at >= from).count() as f64;
-            let Some(begin) = now.checked_sub(WINDOW) else { continue };
-            let before = begin.checked_sub(WINDOW).unwrap_or(begin);
-            let in_window = within(&requests, begin);
+            let Some(window_start) = now.checked_sub(WINDOW) else { continue };
+            let before = window_start.checked_sub(WINDOW).unwrap_or(window_start);
+            let in_window = within(&requests, window_start);
             let in_window_before = within(&requests, before) - in_window;
             let allowed = 0.10 * in_window + 0.08 * in_window_before.max(in_window) + 5.0 + 2.0;
-            let made = within(&retries, begin);
+            let made = within(&retries, window_start);
             assert!(made <= allowed, "{made} of {allowed}");
         }
         Ok(())
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_does_not_divide_evenly_goes_to_the_cheapest_zone() {
+fn the_remainder_goes_to_the_cheapest_zone() {
     let zones = [supply("a", 0, false), supply("b", 0, false)];
     let mut limits = limits(true);
     limits.zone_prices = [("a".into(), 1.2), ("b".into(), 0.85)].into();
@@ -162,8 +162,8 @@
     let later = at + Duration::from_secs(60);
     assert!(due(&orders, &given, &inputs, later).is_empty());
     // The reclaimable one was taken away: it is ordered again once it had time to boot.
-    let taken = [supply("a", 0, false)];
-    let inputs = ScalingInputs { zones: &taken, ..inputs };
+    let remaining = [supply("a", 0, false)];
+    let inputs = ScalingInputs { zones: &remaining, ..inputs };
     assert!(due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
     assert_eq!(due(&orders, &given, &inputs, later), [orders[1].clone()]);
     given.insert(OrderKey::of(&orders[0]), GivenOrder::new(5, at));
@@ -173,7 +173,7 @@
 /// Guards against: a zone's reclaimable back ends are taken away while none can be had, and the holder doesn't learn it until they
 /// would have had time to boot: no lasting ones were ordered before all gateways were killed two seconds later.
 #[test]
-fn what_was_taken_away_is_ordered_again_at_once() {
+fn reclaimed_back_ends_are_ordered_again_at_once() {
     let limits = limits(true);
     let service: ServiceName = "model".into();
     let inputs = |zones| ScalingInputs {
@@ -227,7 +227,7 @@
 
 /// On a large deployment engines were given back before the first request and lacked for ten seconds.
 #[test]
-fn the_floor_is_kept_as_reclaimable_while_the_load_is_not_known() {
+fn the_floor_is_ordered_as_reclaimable_while_the_load_is_unknown() {
     let zones = [supply("a", 0, false)];
     assert_eq!(planned(&limits(true), &zones, 0.0, 5), [(false, 1), (true, 4)]);
 }
@@ -235,7 +235,7 @@
 /// On a quiet day of a large deployment one zone's engines were taken away, none could be had anywhere, and
 /// the plan gave back a third of the others at that moment. Five seconds later the next zone was taken away.
 #[test]
-fn what_other_zones_hold_is_kept_while_one_cannot_get_its_part() {
+fn other_zones_keep_their_back_ends_while_one_zone_cannot_get_its_share() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     let held = |zones: &[ZoneSupply]| wanted_at(6.5, zones, &limits, true);
     let zones = [supply("a", 0, true), supply("b", 9, false), supply("c", 9, false)];
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -11,7 +11,7 @@
 const OBJECTIVES: Objectives = Objectives { first_event_ms: 600.0, pause_ms: Some(60.0) };
 
 fn estimates() -> ServiceEstimates {
-    support::observed().estimates()
+    support::typical_statistics().estimates()
 }
 
 fn random_work(random: &mut Unstructured<'_>) -> Result<Workload> {
@@ -26,20 +26,20 @@
 }
 
 #[test]
-fn the_number_is_the_fewest_that_keep_the_objectives() {
+fn the_number_is_the_fewest_that_meet_the_objectives() {
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)?;
         let count = fewest(work, &estimates, SLOTS, OBJECTIVES, USUAL).expect("known");
-        let is_kept = |count: u32| {
+        let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             one.running <= f64::from(SLOTS) * USUAL.slots
                 && one.reading_share <= USUAL.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
-        assert!(is_kept(count), "{count} for {work:?}");
-        assert!(count == 1 || !is_kept(count - 1), "one less than {count} would do for {work:?}");
+        assert!(meets_objectives(count), "{count} for {work:?}");
+        assert!(count == 1 || !meets_objectives(count - 1), "one less than {count} would do for {work:?}");
         Ok(())
     });
 }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn no_work_needs_none_and_unknown_engines_have_no_number() {
+fn no_work_needs_no_back_ends_and_unknown_engines_give_no_number() {
     assert_eq!(fewest(Workload::default(), &estimates(), SLOTS, OBJECTIVES, USUAL), Some(0));
     let work = Workload { requests: 5.0, tokens: 1_000.0, pairs: 0.0, events: 10.0 };
     assert_eq!(sizing::needed(work, &ServiceEstimates::default(), SLOTS, OBJECTIVES), None);
@@ -70,7 +70,7 @@
 
 /// An objective that an idle engine misses is no reason to order any number of them.
 #[test]
-fn an_objective_that_nobody_can_keep_does_not_count() {
+fn an_unattainable_objective_is_ignored() {
     let work = Workload { requests: 5.0, tokens: 5_000.0, pairs: 0.0, events: 50.0 };
     let impossible = Objectives { first_event_ms: 1.0, pause_ms: Some(1.0) };
     let free = Objectives { first_event_ms: f64::MAX, pause_ms: None };
@@ -102,7 +102,7 @@
     on_seeds(2_000, |random| {
         let work = random_work(random)? * f64::from(random.int_in_range(1..=20_u32)?);
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
-        let is_kept = |count: u32| {
+        let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             let fullness = usual_fullness(count);
             one.running <= f64::from(SLOTS) * fullness.slots
@@ -110,8 +110,12 @@
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
-        assert!(is_kept(needed.usual), "{} for {work:?}", needed.usual);
-        assert!(needed.usual == 1 || !is_kept(needed.usual - 1), "one less than {} would do", needed.usual);
+        assert!(meets_objectives(needed.usual), "{} for {work:?}", needed.usual);
+        assert!(
+            needed.usual == 1 || !meets_objectives(needed.usual - 1),
+            "one less than {} would do",
+            needed.usual
+        );
         assert!(needed.usual >= needed.standing_in);
         Ok(())
     });
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -21,7 +21,7 @@
 const ENGINES: usize = 160;
 /// Requests that an engine works on at once.
 const SLOTS: u32 = 48;
-const SLOW: usize = 24;
+const SLOW_ENGINES: usize = 24;
 const GATEWAYS: usize = 295;
 const REQUESTS_PER_SECOND: f64 = 670.0;
 /// How much longer a slow engine takes.
@@ -29,15 +29,15 @@
 /// When the engines turn slow, and when they are well again.
 const SLOW_FROM_S: f64 = 2.0;
 const SLOW_UNTIL_S: f64 = 10.0;
-const LENGTH_S: usize = 22;
+const DURATION_S: usize = 22;
 /// Time between two fits of the models at the node that places.
 const REFRESH_S: f64 = 0.5;
 
 /// A request that is under way; the one that ends first is the greatest.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct UnderWay {
-    ends: std::cmp::Reverse<Instant>,
-    begun: Instant,
+struct InFlightRequest {
+    completes_at: std::cmp::Reverse<Instant>,
+    sent_at: Instant,
     gateway: usize,
     engine: BackendId,
     tokens: u64,
@@ -45,33 +45,33 @@
 
 struct Fleet {
     directory: Directory,
-    placing: Knowledge,
+    placer: Knowledge,
     gateways: Vec<EngineModels<Reporter>>,
-    under_way: BinaryHeap<UnderWay>,
+    in_flight: BinaryHeap<InFlightRequest>,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let placing = Knowledge::default();
-        support::teach(&placing.models, support::observed_with(0.0));
-        let teach = |_| {
+        let placer = Knowledge::default();
+        support::add_peer_statistics(&placer.models, support::statistics_with_running_ms(0.0));
+        let new_gateway = |_| {
             let models = EngineModels::default();
-            support::teach(&models, support::observed_with(0.0));
+            support::add_peer_statistics(&models, support::statistics_with_running_ms(0.0));
             models
         };
-        let gateways = (0..GATEWAYS).map(teach).collect();
-        Self {
-            directory: support::directory(ENGINES, SLOTS),
-            placing,
-            gateways,
-            under_way: BinaryHeap::new(),
-        }
+        let gateways = (0..GATEWAYS).map(new_gateway).collect();
+        Self { directory: support::directory(ENGINES, SLOTS), placer, gateways, in_flight: BinaryHeap::new() }
     }
 
     /// Places a request of a gateway, which reports what it observed.
-    fn send(&mut self, gateway: usize, tokens: u64, takes: impl FnOnce(&BackendId, f64) -> f64) -> BackendId {
+    fn send(
+        &mut self,
+        gateway: usize,
+        tokens: u64,
+        service_time_ms: impl FnOnce(&BackendId, f64) -> f64,
+    ) -> BackendId {
         let now = Instant::now();
-        self.placing.models.hear_report(self.gateways[gateway].take_unreported(|_| true, now), now);
+        self.placer.models.hear_report(self.gateways[gateway].take_unreported(|_| true, now), now);
         let parts = vec![PromptPart { id: now.elapsed().as_nanos() as u64, tokens: tokens as u32 }];
         let prompt = Prompt { prompt_tokens: tokens as u32, output_tokens: 10, parts };
         let search = Search {
@@ -83,26 +83,33 @@
             versions: None,
             by: ChosenBy::Placer,
         };
-        let candidates = self.placing.candidates(&self.directory, search);
-        let estimates = self.placing.models.estimates(search.service);
+        let candidates = self.placer.candidates(&self.directory, search);
+        let estimates = self.placer.models.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
         let engine = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-        let reading_ms = support::reading_ms(Reading::of_rest(0, tokens));
-        self.placing.queues.add(&engine, reading_ms, now);
-        let ends = now + Duration::from_secs_f64(takes(&engine, 5.0 + reading_ms) / 1_000.0);
-        let ends = std::cmp::Reverse(ends);
-        self.under_way.push(UnderWay { ends, begun: now, gateway, engine: engine.clone(), tokens });
+        let reading_ms = support::prefill_ms(Reading::of_rest(0, tokens));
+        self.placer.queues.add(&engine, reading_ms, now);
+        let completes_at =
+            now + Duration::from_secs_f64(service_time_ms(&engine, 5.0 + reading_ms) / 1_000.0);
+        let completes_at = std::cmp::Reverse(completes_at);
+        self.in_flight.push(InFlightRequest {
+            completes_at,
+            sent_at: now,
+            gateway,
+            engine: engine.clone(),
+            tokens,
+        });
         engine
     }
 
     /// Ends what has begun to answer by now.
-    fn end_due(&mut self) {
+    fn complete_due(&mut self) {
         let now = Instant::now();
-        while self.under_way.peek().is_some_and(|request| request.ends.0 <= now) {
-            let Some(request) = self.under_way.pop() else { return };
+        while self.in_flight.peek().is_some_and(|request| request.completes_at.0 <= now) {
+            let Some(request) = self.in_flight.pop() else { return };
             let reading = Reading::of_rest(0, request.tokens);
             let of = FirstEvent { reading, tokens_ahead: 0, running: 0 };
-            let took_ms = (request.ends.0 - request.begun).as_secs_f64() * 1_000.0;
+            let took_ms = (request.completes_at.0 - request.sent_at).as_secs_f64() * 1_000.0;
             let models = &self.gateways[request.gateway];
             models.note_first_event(&"pool".into(), &request.engine, of, took_ms, now);
         }
@@ -110,7 +117,7 @@
 }
 
 fn is_slow(engine: &BackendId) -> bool {
-    (0..SLOW).any(|number| *engine == BackendId::from(format!("e{number}").as_str()))
+    (0..SLOW_ENGINES).any(|number| *engine == BackendId::from(format!("e{number}").as_str()))
 }
 
 /// The share of the requests of each second that slow engines get, in hundredths.
@@ -118,25 +125,25 @@
     let mut fleet = Fleet::new();
     let mut random = SmallRng::seed_from_u64(11);
     let (start, mut refreshed) = (Instant::now(), Instant::now());
-    let mut counts = vec![(0_u32, 0_u32); LENGTH_S];
+    let mut counts = vec![(0_u32, 0_u32); DURATION_S];
     loop {
         let pause_s = -random.random::<f64>().ln() / REQUESTS_PER_SECOND;
         tokio::time::advance(Duration::from_secs_f64(pause_s)).await;
         let at_s = start.elapsed().as_secs_f64();
         let Some(count) = counts.get_mut(at_s as usize) else { break };
-        fleet.end_due();
+        fleet.complete_due();
         if refreshed.elapsed().as_secs_f64() >= REFRESH_S {
             refreshed = Instant::now();
-            fleet.placing.models.refresh(refreshed);
+            fleet.placer.models.refresh(refreshed);
         }
         let gateway = random.random_range(0..GATEWAYS);
         let tokens = random.random_range(500..9_000);
         let noise = random.random_range(0.8..1.3);
-        let is_time = (SLOW_FROM_S..SLOW_UNTIL_S).contains(&at_s);
-        let takes = |engine: &BackendId, usual_ms: f64| {
-            usual_ms * noise * if is_time && is_slow(engine) { SLOW_FACTOR } else { 1.0 }
+        let is_slow_period = (SLOW_FROM_S..SLOW_UNTIL_S).contains(&at_s);
+        let service_time_ms = |engine: &BackendId, usual_ms: f64| {
+            usual_ms * noise * if is_slow_period && is_slow(engine) { SLOW_FACTOR } else { 1.0 }
         };
-        let engine = fleet.send(gateway, tokens, takes);
+        let engine = fleet.send(gateway, tokens, service_time_ms);
         count.0 += 1;
         count.1 += u32::from(is_slow(&engine));
     }
@@ -144,7 +151,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slow_engines_are_left_within_two_seconds_and_used_again_when_well() {
+async fn slow_engines_are_avoided_within_two_seconds_and_used_again_after_recovery() {
     let shares = shares().await;
     println!("{shares:.1?}");
     let mean = |from: usize, until: usize| shares[from..until].iter().sum::<f64>() / (until - from) as f64;
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -22,31 +22,31 @@
 use tokio::time::Instant;
 
 /// Engines of the new version that take requests.
-const NEW: usize = 5;
+const NEW_ENGINES: usize = 5;
 /// Answers of the old version for each of the new one.
-const OLD_FOR_EACH: usize = 19;
+const OLD_ANSWERS_PER_NEW: usize = 19;
 /// Answers of the new version.
-const ANSWERS: usize = 200;
+const NEW_ANSWERS: usize = 200;
 /// Time between two answers.
-const PAUSE: Duration = Duration::from_millis(5);
+const ANSWER_INTERVAL: Duration = Duration::from_millis(5);
 /// Prompt tokens of each request.
 const TOKENS: u64 = 4_000;
 
-struct Watched {
+struct Observer {
     knowledge: Knowledge,
     random: SmallRng,
 }
 
-impl Watched {
+impl Observer {
     fn new(seed: u64) -> Self {
         let knowledge = Knowledge::default();
-        support::teach(&knowledge.models, support::observed_with(0.0));
+        support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
         Self { knowledge, random: SmallRng::seed_from_u64(seed) }
     }
 
     /// Lets an engine answer that takes `factor` times the usual time, and some noise; gives whether that counts as slow.
     async fn answer(&mut self, engine: &BackendId, factor: f64) -> bool {
-        tokio::time::advance(PAUSE).await;
+        tokio::time::advance(ANSWER_INTERVAL).await;
         let now = Instant::now();
         let models = &self.knowledge.models;
         models.refresh(now);
@@ -65,7 +65,7 @@
             candidates: 1,
             chosen_by: "n0".into(),
         };
-        let took_ms = (5.0 + support::reading_ms(of.reading)) * factor * self.random.random_range(0.8..1.3);
+        let took_ms = (5.0 + support::prefill_ms(of.reading)) * factor * self.random.random_range(0.8..1.3);
         models.note_first_event(&"pool".into(), engine, of, took_ms, now);
         choice.is_slow(took_ms)
     }
@@ -73,22 +73,22 @@
 
 /// Shares of slow answers, in hundredths, of the new version that takes `factor` times as long, and of the old one.
 async fn slow_shares(factor: f64) -> (f64, f64) {
-    let mut watched = Watched::new(7);
+    let mut observer = Observer::new(7);
     let (mut slow_new, mut slow_old) = (0, 0);
-    for number in 0..ANSWERS {
-        for _ in 0..OLD_FOR_EACH {
-            let engine = BackendId::new(format!("old{}", watched.random.random_range(0..60)));
-            slow_old += u32::from(watched.answer(&engine, 1.0).await);
+    for number in 0..NEW_ANSWERS {
+        for _ in 0..OLD_ANSWERS_PER_NEW {
+            let engine = BackendId::new(format!("old{}", observer.random.random_range(0..60)));
+            slow_old += u32::from(observer.answer(&engine, 1.0).await);
         }
-        let engine = BackendId::new(format!("new{}", number % NEW));
-        slow_new += u32::from(watched.answer(&engine, factor).await);
+        let engine = BackendId::new(format!("new{}", number % NEW_ENGINES));
+        slow_new += u32::from(observer.answer(&engine, factor).await);
     }
     let share = |slow: u32, of: usize| 100.0 * f64::from(slow) / of as f64;
-    (share(slow_new, ANSWERS), share(slow_old, ANSWERS * OLD_FOR_EACH))
+    (share(slow_new, NEW_ANSWERS), share(slow_old, NEW_ANSWERS * OLD_ANSWERS_PER_NEW))
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_version_stays_slow_however_long_it_is_watched() {
+async fn a_slow_version_stays_slow_however_long_it_is_observed() {
     for (factor, least) in [(3.0, 70.0), (8.0, 98.0)] {
         let (new, old) = slow_shares(factor).await;
         println!("{factor} times slower: {new:.0} in 100 answers slow, {old:.1} of the old version");
--- a/crates/beamwall-gateway/tests/startup.rs
+++ b/crates/beamwall-gateway/tests/startup.rs
@@ -20,41 +20,41 @@
 
 /// Waits as a request does; gives whether all is known then, and how long that took.
 async fn wait(known_after: Duration, patience: Option<Duration>) -> (bool, Duration) {
-    let begun = Instant::now();
-    let is_known = || begun.elapsed() >= known_after;
+    let started = Instant::now();
+    let is_known = || started.elapsed() >= known_after;
     wait_known(is_known, patience).await;
-    (is_known(), begun.elapsed())
+    (is_known(), started.elapsed())
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_a_moment_for_what_is_not_known_yet() {
+async fn a_request_waits_briefly_for_the_policy_and_back_ends() {
     let (is_known, waited) = wait(KNOWN_AFTER, Some(PATIENCE)).await;
     assert!(is_known);
     assert!(waited < KNOWN_AFTER * 2, "{waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_for_nothing_where_all_is_known() {
+async fn a_request_does_not_wait_when_both_are_known() {
     assert_eq!(wait(Duration::ZERO, Some(PATIENCE)).await, (true, Duration::ZERO));
-    let looks = Cell::new(0);
-    let look = || {
-        looks.set(looks.get() + 1);
+    let checks = Cell::new(0);
+    let check = || {
+        checks.set(checks.get() + 1);
         true
     };
-    wait_known(look, Some(PATIENCE)).await;
-    assert_eq!(looks.get(), 1);
+    wait_known(check, Some(PATIENCE)).await;
+    assert_eq!(checks.get(), 1);
 }
 
 /// Without a policy the objective of a request is not known. One that is held for long and not served is worse off than one that is
 /// refused.
 #[tokio::test(start_paused = true)]
-async fn a_request_is_not_held_for_long_where_nothing_comes() {
+async fn a_request_does_not_wait_long_when_they_stay_unknown() {
     let never = Duration::from_secs(3_600);
     for patience in [None, Some(PATIENCE), Some(Duration::from_secs(60))] {
         let (is_known, waited) = wait(never, patience).await;
         assert!(!is_known && waited <= LONGEST_WAIT, "{waited:?} of a patience of {patience:?}");
     }
-    let hurried = Duration::from_millis(600);
-    let (_, waited) = wait(never, Some(hurried)).await;
-    assert!(waited < hurried / 10, "{waited:?}");
+    let short_patience = Duration::from_millis(600);
+    let (_, waited) = wait(never, Some(short_patience)).await;
+    assert!(waited < short_patience / 10, "{waited:?}");
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -27,26 +27,26 @@
 pub const PLAIN_CALL_MS: f64 = 15.0;
 
 /// Time to read a part of a prompt.
-pub fn reading_ms(reading: Reading) -> f64 {
+pub fn prefill_ms(reading: Reading) -> f64 {
     reading.tokens as f64 / TOKENS_PER_MS + reading.pairs as f64 / 1e6 * PAIRS_MS_PER_MILLION
 }
 
 /// What was observed of such engines, without any noise.
-pub fn observed() -> ServiceStatistics {
-    observed_with(RUNNING_MS)
+pub fn typical_statistics() -> ServiceStatistics {
+    statistics_with_running_ms(RUNNING_MS)
 }
 
 /// The same of engines at which each running request adds `running_ms` to the start of another.
-pub fn observed_with(running_ms: f64) -> ServiceStatistics {
+pub fn statistics_with_running_ms(running_ms: f64) -> ServiceStatistics {
     let mut statistics = ServiceStatistics::default();
     let unknown = ServiceEstimates::default();
     for number in 0..300_u64 {
         let reading = Reading::of_rest((number % 3) * 500, 1 + number * 7_919 % 20_000);
         let (tokens_ahead, running) = (number * 104_729 % 15_000, (number % 24) as u32);
-        let of = FirstEvent { reading, tokens_ahead, running };
+        let inputs = FirstEvent { reading, tokens_ahead, running };
         let ahead_ms = tokens_ahead as f64 / TOKENS_PER_MS;
-        let took_ms = 5.0 + reading_ms(reading) + ahead_ms + f64::from(running) * running_ms;
-        statistics.note_first_event(of, took_ms, &unknown);
+        let took_ms = 5.0 + prefill_ms(reading) + ahead_ms + f64::from(running) * running_ms;
+        statistics.note_first_event(inputs, took_ms, &unknown);
         let gap_ms = EVENT_GAP_MS + f64::from(running) * EVENT_GAP_MS_EACH;
         statistics.note_event_gap(running, gap_ms, &unknown);
         statistics.note_plain_call(running, PLAIN_CALL_MS * f64::from(running + 1));
@@ -56,8 +56,8 @@
 }
 
 /// Lets a node know the service `pool`.
-pub fn teach(models: &EngineModels<Reporter>, observed: ServiceStatistics) {
-    models.set_peer(&Reporter::Node("teacher".into()), [("pool".into(), observed)].into());
+pub fn add_peer_statistics(models: &EngineModels<Reporter>, statistics: ServiceStatistics) {
+    models.set_peer(&Reporter::Node("teacher".into()), [("pool".into(), statistics)].into());
     models.refresh(Instant::now());
 }
 
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn counts_of_killed_lives_stay_and_repeated_tellings_count_once() {
+fn counts_of_killed_processes_stay_and_repeated_reports_count_once() {
     let (here, before, after) =
         (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     before.record(&"alder".into(), second(11));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_node_that_starts_learns_what_ended_lives_counted() {
+fn a_starting_node_learns_the_counts_of_ended_processes() {
     let (killed, survivor, started) =
         (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     killed.record(&"alder".into(), second(11));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn lives_that_ended_long_ago_are_forgotten() {
+fn counts_of_processes_that_ended_long_ago_are_removed() {
     let ledger = UsageLedger::new(WINDOW);
     for life in 0..100 {
         let counted = UsageLedger::new(WINDOW);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn old_windows_are_forgotten() {
+fn old_windows_are_removed() {
     let ledger = UsageLedger::new(WINDOW);
     for number in 0..100 {
         ledger.record(&"alder".into(), second(number * 5));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_zone_counts_once_whichever_relay_tells_its_sum() {
+fn a_zone_counts_once_whichever_relay_reports_its_sum() {
     let (here, there) = (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     here.record(&"alder".into(), second(11));
     there.record(&"alder".into(), second(11));
@@ -94,15 +94,15 @@
 
 /// Guards against usage that is lost with all nodes: what was written down and what later lives count are summed.
 #[test]
-fn what_was_written_down_before_all_lives_ended_is_carried_on() {
+fn stored_counts_are_carried_over_when_all_processes_end() {
     let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
     let other = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
     before.record(&"alder".into(), second(10));
     other.record(&"alder".into(), second(11));
     before.merge(&"n2".into(), 1, other.recent(3));
-    let written = before.to_carry(2);
+    let stored = before.to_carry(2);
     let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(written);
+    after.carry(stored);
     after.record(&"alder".into(), second(13));
     assert_eq!(after.total(2).counts, [("alder".into(), 3)].into());
     // And once more, with a life that is known from others as well.
@@ -115,30 +115,30 @@
 
 /// A successor that has heard the lives counts none of them twice, also where they went on counting.
 #[test]
-fn lives_that_were_written_down_and_go_on_count_once() {
-    let holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
+fn stored_counts_of_running_processes_count_once() {
+    let lease_holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
     let successor = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
-    holder.record(&"alder".into(), second(10));
+    lease_holder.record(&"alder".into(), second(10));
     successor.record(&"alder".into(), second(10));
-    holder.merge(&"n2".into(), 1, successor.recent(3));
-    let written = holder.to_carry(2);
-    holder.record(&"alder".into(), second(11));
+    lease_holder.merge(&"n2".into(), 1, successor.recent(3));
+    let stored = lease_holder.to_carry(2);
+    lease_holder.record(&"alder".into(), second(11));
     successor.record(&"alder".into(), second(12));
-    successor.merge(&"n1".into(), 1, holder.recent(3));
-    successor.carry(written);
+    successor.merge(&"n1".into(), 1, lease_holder.recent(3));
+    successor.carry(stored);
     assert_eq!(successor.total(2).counts, [("alder".into(), 4)].into());
 }
 
 /// Whatever is killed when, nothing is counted twice, and nothing is lost that was told before it was written down.
 #[test]
-fn counts_are_at_least_what_was_written_down_and_at_most_what_ran() {
+fn totals_are_at_least_the_stored_counts_and_at_most_the_requests_run() {
     beamwall_seeds::on_seeds(2_000, |random| {
         let mut lives = [0_u64; 3];
         let new = |node: usize, life: u64| {
             UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), life)
         };
         let mut nodes: Vec<UsageLedger> = (0..3).map(|node| new(node, 0)).collect();
-        let (mut ran, mut written, mut written_total) = (0, None, 0);
+        let (mut ran, mut stored, mut stored_total) = (0, None, 0);
         for _ in 0..random.int_in_range(1..=40)? {
             let node = random.int_in_range(0..=2)?;
             match random.int_in_range(0..=5)? {
@@ -147,18 +147,18 @@
                     ran += 1;
                 }
                 3 => {
-                    let told = nodes[node].recent(3);
+                    let report = nodes[node].recent(3);
                     for other in (0..3).filter(|other| *other != node) {
-                        nodes[other].merge(&format!("n{node}").as_str().into(), lives[node], told.clone());
+                        nodes[other].merge(&format!("n{node}").as_str().into(), lives[node], report.clone());
                     }
                 }
                 4 => {
                     // One takes the duty over and writes down what it knows.
-                    nodes[node].carry(written.take().unwrap_or_default());
+                    nodes[node].carry(stored.take().unwrap_or_default());
                     let total = nodes[node].total(2).counts.values().sum();
-                    assert!(total >= written_total, "{total} of {written_total} written down");
+                    assert!(total >= stored_total, "{total} of {stored_total} stored");
                     assert!(total <= ran, "{total} of {ran}");
-                    (written, written_total) = (Some(nodes[node].to_carry(0)), total);
+                    (stored, stored_total) = (Some(nodes[node].to_carry(0)), total);
                 }
                 _ => {
                     lives[node] += 1;
