--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -70,7 +70,7 @@
 fn place_in_group(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
     let knowledge = Knowledge::default();
-    support::teach(&knowledge.models, support::observed());
+    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     let prompt = prompt();
     let group = first_group(&directory, &prompt);
     bencher.bench(|| place(&knowledge, &directory, &prompt, group));
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -18,7 +18,7 @@
 
 use crate::forward::{Call, Forwarder};
 use crate::ports::{CallHead, Prompt};
-use crate::quota::{Charge, QuotaBook};
+use crate::quota::{Charge, QuotaLimiter};
 use crate::refusal::Refusal;
 use crate::{startup, stream, unary};
 
@@ -42,7 +42,7 @@
     /// The policy in force.
     pub policy: Arc<ArcSwap<PolicyIndex>>,
     /// Quotas.
-    pub quotas: QuotaBook,
+    pub quotas: QuotaLimiter,
     /// Forwarding.
     pub forwarder: Arc<Forwarder>,
     /// Told when the peers should hear at once.
@@ -244,9 +244,9 @@
         };
         let give_up = Instant::now() + TELLING_LIMIT;
         let charged = loop {
-            let telling = self.quotas.next_telling();
+            let telling = self.quotas.next_report();
             let charged = self.quotas.charge(tenant, amount, Instant::now());
-            let fits_later = matches!(charged, Err(exceeded) if exceeded.fits_when_told);
+            let fits_later = matches!(charged, Err(exceeded) if exceeded.fits_after_report);
             if !fits_later || Instant::now() >= give_up {
                 break charged;
             }
--- a/crates/beamwall-gateway/src/refusal.rs
+++ b/crates/beamwall-gateway/src/refusal.rs
@@ -90,7 +90,7 @@
             Self::BodyTooLarge => "the body is too large".to_owned(),
             Self::QuotaExceeded(exceeded) => format!(
                 "the tenant is beyond its quota: {:.0} asked for, {:.0} left, {} of {} nodes heard",
-                exceeded.amount, exceeded.level, exceeded.sharing.heard, exceeded.sharing.known
+                exceeded.amount, exceeded.level, exceeded.membership.reachable, exceeded.membership.known
             ),
             Self::NotRun(reason) => format!("not run: {reason}"),
             Self::AnswerLost(reason) => format!("the answer is lost: {reason}"),
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -203,7 +203,7 @@
         // The tick publishes when each member was last heard.
         let Ok(tick) = self.membership.ask(Tick).await else { return };
         self.share_limits();
-        let quota_uses = beat::encode_quota_uses(self.gateway.quotas.tell());
+        let quota_uses = beat::encode_quota_uses(self.gateway.quotas.take_report());
         let demands = beat::encode_demands(self.close_demand_period());
         self.refresh_models();
         self.note_silent_zones();
@@ -457,6 +457,6 @@
         }
         self.take_observations(&reporter, &beat.models, &beat.slowness);
         let uses = beat::decode_quota_uses(&beat.quota_uses);
-        self.gateway.quotas.hear(&node, beat.life, uses, Instant::now());
+        self.gateway.quotas.merge_node_usage(&node, beat.life, uses, Instant::now());
     }
 }
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -171,7 +171,7 @@
 
     /// Tenants and services that are gone keep no value.
     fn refresh_limits(&self, gateway: &Gateway) {
-        self.nodes_heard.set(gateway.quotas.sharing().heard as i64);
+        self.nodes_heard.set(gateway.quotas.membership().reachable as i64);
         self.quota_level.reset();
         for (tenant, level) in gateway.quotas.levels() {
             self.quota_level.with_label_values(&[tenant.as_str()]).set(level);
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -54,7 +54,7 @@
 use beamwall_gateway::metrics::GatewayMetrics;
 use beamwall_gateway::ports::RolloutStore;
 use beamwall_gateway::quarantine::{Quarantine, TrialPort};
-use beamwall_gateway::quota::{QuotaBook, Tolerance};
+use beamwall_gateway::quota::{QuotaLimiter, Tolerance};
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{ControlStore, Dialect, Directory, DutyPort, Gateway, GatewayHandler, PlacementPort};
@@ -328,13 +328,14 @@
         metrics: GatewayMetrics::new(registry)?,
     });
     let tolerance = Tolerance {
-        usual: settings.quota_overage * QUOTA_OVERAGE_USED,
+        sustained: settings.quota_overage * QUOTA_OVERAGE_USED,
         in_window: settings.quota_overage,
         at_start: settings.quota_overage * QUOTA_OVERAGE_USED_AT_START,
         window: settings.quota_window,
     };
-    let quotas =
-        QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes).tolerating(tolerance).started_at(life);
+    let quotas = QuotaLimiter::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
+        .with_tolerance(tolerance)
+        .with_generation(life);
     Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
 }
 
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -5,7 +5,7 @@
 
 use beamwall_events::emit;
 use beamwall_events::internal_events::ZoneCutOff;
-use beamwall_gateway::quota::Sharing;
+use beamwall_gateway::quota::QuotaMembership;
 use beamwall_model::ZoneName;
 use beamwall_peer::{Member, MemberState};
 use tokio::time::Instant;
@@ -27,8 +27,8 @@
         let close = self.close_nodes_heard();
         let heard = if self.is_large() { close + self.zones.nodes_heard() } else { close };
         let policy = self.gateway.policy.load();
-        let sharing = Sharing { heard, known, close };
-        self.gateway.quotas.share(
+        let sharing = QuotaMembership { reachable: heard, known, direct: close };
+        self.gateway.quotas.set_membership(
             sharing,
             policy.policy().tenants.iter().map(|tenant| &**tenant),
             Instant::now(),
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -175,7 +175,7 @@
         forwarder.usage.merge_zone(&zone, beat::decode_usage(summary.usage));
         let relay = NodeId::new(&summary.relay);
         let uses = beat::decode_quota_uses(&summary.quota_uses);
-        self.gateway.quotas.hear_zone(&zone, &relay, summary.life, uses, Instant::now());
+        self.gateway.quotas.merge_zone_usage(&zone, &relay, summary.life, uses, Instant::now());
         if let Some(news) = &summary.rollouts {
             self.take_rollouts_of_zone(&zone, news);
         }
