--- a/crates/beamwall-gateway/src/quota/account.rs
+++ b/crates/beamwall-gateway/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! One tenant's account at one node.
+//! The token bucket of one tenant at one node.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,62 +7,61 @@
 
 use super::QuotaMembership;
 
-/// Time within which other zones learn what was let pass in this one.
+/// Time within which other zones learn of work admitted in this zone.
 const ZONE_REPORT_DELAY: Duration = Duration::from_millis(1_200);
-/// Time over which the usual work of a tenant is averaged: other zones tell theirs once a second.
+/// Time over which the rate of a tenant is averaged. Other zones report once a second.
 const RATE_AVERAGING_TIME: Duration = Duration::from_millis(2_400);
-/// How many times its usual work a tenant may ask for, until all nodes have been told, without going beyond what it
-/// may let pass in a window.
+/// Factor by which a tenant's rate may rise before all nodes have received a report, without exceeding the
+/// window's allowance.
 const SURGE_FACTOR: f64 = 4.0;
-/// Time for which all nodes must have been heard until what was withheld for silent ones is owed to nobody: twice the
-/// time within which a zone's sum is told.
+/// Time for which all nodes must have been reachable before work withheld for silent nodes is released: twice
+/// the time within which a zone summary is reported.
 const WITHHELD_RELEASE_DELAY: Duration = Duration::from_millis(2_400);
-/// Longest time for which the rate is withheld for nodes that are not heard: what they let pass before is long
-/// paid for.
+/// Longest time for which the rate is withheld for unreachable nodes. Work that they admitted earlier has
+/// been covered by the refill since.
 const MAX_WITHHELD_TIME: Duration = Duration::from_secs(20);
-/// Time for which work that passed is kept. Windows of quotas are seconds; over a longer one nodes keep to their parts.
+/// Time for which admitted work is recorded. Quota windows last seconds; with a longer window than this, each
+/// node keeps to its share of the quota.
 pub(super) const HISTORY_TIME: Duration = Duration::from_secs(20);
-/// Work let pass within this time is kept as one entry.
+/// Work admitted within this time is recorded as one entry.
 const HISTORY_ENTRY_TIME: Duration = Duration::from_millis(100);
 
-/// How an account is refilled.
+/// The refill parameters of an account.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Refill {
-    /// Work a second that the tenant gains on all sides of a cut together.
+    /// Work per second that the tenant gains on all sides of a network partition together.
     pub(super) rate: f64,
-    /// This side's part of it, 1 for the whole.
+    /// This side's fraction of the rate; 1 for the full rate.
     pub(super) fraction: f64,
-    /// Work that the account holds at most.
+    /// Capacity of the bucket.
     pub(super) burst: f64,
 }
 
-/// What a tenant may let pass at this node, and what of it others know.
+/// Work that this node may admit for a tenant, and how much of the admitted work has been reported.
 #[derive(Debug)]
 pub(super) struct Account {
-    /// Work that may pass now; negative after work that was larger than what was left.
+    /// Work that may be admitted now; negative after work that exceeded the level.
     pub(super) level: f64,
-    /// Part of the rate that was left to nodes which were not heard. What these tell later that they let pass was
-    /// covered by it.
+    /// Refill that was withheld for unreachable nodes. It covers the work that these nodes report later.
     withheld: f64,
-    /// Since when this account has been refilled at the whole rate; `None` while it is not.
+    /// When refilling at the full rate began; `None` while the rate is reduced.
     full_rate_since: Option<Instant>,
     last_refill: Instant,
-    /// How it is refilled.
     refill: Refill,
-    /// Work let pass by this node since its start.
+    /// Work admitted by this node since its start.
     pub(super) admitted: f64,
-    /// Part of it that the others were not told yet.
+    /// Work admitted by this node and not reported to peers yet.
     pub(super) unreported: f64,
-    /// Work let pass by all nodes that tell their own, since this node's start.
+    /// Work admitted since this node's start by all nodes that report to it directly, this node included.
     pub(super) admitted_by_nodes: f64,
-    /// The newest part of it, of which other zones may not know yet.
+    /// Recent work of the same nodes, of which other zones may not know yet.
     recent: WorkHistory,
-    /// The newest work that other zones told.
+    /// Recent work reported by other zones.
     recent_other_zones: WorkHistory,
 }
 
 impl Account {
-    /// An account begins nearly empty: what passed elsewhere before is not known.
+    /// Creates an account. `level` is low, since work admitted elsewhere before is not known.
     pub(super) fn new(level: f64, refill: Refill, now: Instant) -> Self {
         Self {
             level,
@@ -78,15 +77,15 @@
         }
     }
 
-    /// Adds what has been gained since the last time, and refills as told from now on.
+    /// Refills the account up to now and uses the new parameters from now on.
     pub(super) fn set_refill(&mut self, refill: Refill, now: Instant) {
         self.refill(now);
         self.refill = refill;
         self.level = self.level.min(refill.burst);
     }
 
-    /// Adds what had been gained when the work that is told now may have passed at the earliest: a rest before it, in which the account
-    /// was full, pays for nothing that passed after it.
+    /// Refills the account up to the earliest time at which the work being reported may have been admitted,
+    /// so that idle time before it, in which the bucket was full, does not offset the work.
     pub(super) fn refill_before_report(&mut self, now: Instant) {
         if let Some(earliest) =
             now.checked_sub(ZONE_REPORT_DELAY).filter(|earliest| *earliest > self.last_refill)
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Adds what has been gained since the last time.
+    /// Refills the account up to now.
     fn refill(&mut self, now: Instant) {
         let Refill { rate, fraction, burst } = self.refill;
         let gained = now.saturating_duration_since(self.last_refill).as_secs_f64() * rate;
@@ -106,8 +105,8 @@
         self.release_withheld(now);
     }
 
-    /// Once all nodes have been heard for a while, what they let pass in their silence has been taken off, so what is
-    /// left of the part withheld for it is the tenant's.
+    /// Releases the withheld work to the tenant once all nodes have been reachable for
+    /// [`WITHHELD_RELEASE_DELAY`]. By then, work that they admitted while unreachable has been debited.
     fn release_withheld(&mut self, now: Instant) {
         if self.refill.fraction < 1.0 {
             self.full_rate_since = None;
@@ -120,46 +119,48 @@
         }
     }
 
-    /// Takes off what a node let pass while it was not heard: first what was withheld for it.
+    /// Debits work that a node admitted while it was silent, first from the withheld work.
     pub(super) fn debit_after_silence(&mut self, amount: f64, now: Instant) {
         self.level += self.cover_from_withheld(amount);
         self.debit_node(amount, now);
     }
 
-    /// Takes from what was withheld what it covers of an amount; gives that.
+    /// Debits as much of an amount as possible from the withheld work and returns the debited part.
     fn cover_from_withheld(&mut self, amount: f64) -> f64 {
         let covered = amount.clamp(0.0, self.withheld);
         self.withheld -= covered;
         covered
     }
 
-    /// Takes off what a zone that is known by sums let pass.
+    /// Debits work reported in the summary of another zone.
     pub(super) fn debit_zone(&mut self, amount: f64, was_silent: bool, now: Instant) {
         let covered = if was_silent { self.cover_from_withheld(amount) } else { 0.0 };
         self.level -= amount - covered;
         self.recent_other_zones.add(amount, now);
     }
 
-    /// Whether this work fits the level, and `allowance` still covers what passed within `window` and all that other
-    /// nodes may let pass before they are told, judged by what passed everywhere a moment ago.
+    /// Whether this work fits the level and `allowance` covers it together with the work admitted within
+    /// `window` and the work that other nodes may admit before they receive a report, estimated from the
+    /// tenant's recent rate.
     pub(super) fn fits_allowance(&self, amount: f64, allowance: f64, window: Duration, now: Instant) -> bool {
         let used = self.admitted_everywhere(window, now);
         let recent_rate =
             self.admitted_everywhere(RATE_AVERAGING_TIME, now) / RATE_AVERAGING_TIME.as_secs_f64();
-        // A tenant that has gone beyond its level passes nothing for a while, and asks no less.
+        // A tenant that exceeded its level has nothing admitted for a while, although its demand has not
+        // dropped.
         let typical_rate = recent_rate.max(used / window.as_secs_f64());
         let unreported_surge = SURGE_FACTOR * typical_rate * ZONE_REPORT_DELAY.as_secs_f64();
         self.level >= amount && used + unreported_surge + amount <= allowance
     }
 
-    /// Lets work of this node pass.
+    /// Admits work at this node.
     pub(super) fn admit_work(&mut self, amount: f64, now: Instant) {
         self.admitted += amount;
         self.unreported += amount;
         self.debit_node(amount, now);
     }
 
-    /// Gives work back that did not run.
+    /// Credits back work that did not run.
     pub(super) fn restore(&mut self, amount: f64) {
         self.level += amount;
         self.admitted -= amount;
@@ -171,15 +172,15 @@
         self.recent.sum(within, now) + self.recent_other_zones.sum(within, now)
     }
 
-    /// Takes off what this node, or one that tells its own, has let pass.
+    /// Debits work admitted by this node or by one that reports to it directly.
     pub(super) fn debit_node(&mut self, amount: f64, now: Instant) {
         self.level -= amount;
         self.admitted_by_nodes += amount;
         self.recent.add(amount, now);
     }
 
-    /// Whether work fits what this zone may let pass before the other zones know of it: of what was there
-    /// before the recent work, the zone's part. All zones together stay within it.
+    /// Whether work fits the amount that this zone may admit before other zones receive its report: the
+    /// zone's fraction of the level before the recent work. All zones together then stay within the level.
     pub(super) fn fits_direct_share(&self, amount: f64, membership: QuotaMembership, now: Instant) -> bool {
         if membership.direct_fraction() >= 1.0 {
             return true;
@@ -190,7 +191,7 @@
     }
 }
 
-/// Work let pass within [`KEPT_FOR`].
+/// Work admitted within [`HISTORY_TIME`].
 #[derive(Debug, Default)]
 struct WorkHistory {
     entries: VecDeque<(Instant, f64)>,
--- a/crates/beamwall-gateway/src/quota/mod.rs
+++ b/crates/beamwall-gateway/src/quota/mod.rs
@@ -1,20 +1,22 @@
-//! Tenant quotas that hold over all nodes.
+//! Distributed rate limits for tenants, enforced across all nodes.
 //!
-//! All nodes that hear each other keep the same bucket for a tenant: each tells what it has let pass
-//! since its start, and takes off its own level what the others tell. What a node lets pass between
-//! two tellings is bounded by its part of the level and of the tolerated slack, so all together stay
-//! within both.
+//! All nodes that reach each other keep a replica of the same token bucket for a tenant. Each node reports
+//! the total work that it has admitted since its start, and debits the totals reported by the others from its
+//! own level. The work that a node admits between two reports is bounded by its share of the level and of the
+//! tolerated slack, so all nodes together stay within both.
 //!
-//! A node's part is small where there are many nodes, and one long prompt takes it all. So work that fits the level
-//! passes at any node while the tenant has used so little in the window of its quota that the rest covers what all nodes
-//! may let pass before they are told: four times what passed a moment ago in that time.
+//! With many nodes the share of one node is small, and a single long prompt uses it up. Therefore any node
+//! admits work that fits the level while the tenant has used little of its quota window: the rest of the
+//! window's allowance must cover the work that all nodes may admit before they receive a report, taken as
+//! four times the recent rate.
 //!
-//! A node that is not heard may be cut off and still serve its callers. So the nodes that hear each
-//! other refill their bucket at their part of the rate only: as many parts as they are, of as many
-//! nodes as are known. The sum over all sides of a cut never exceeds the whole rate.
+//! An unreachable node may be partitioned and still serve its callers. Therefore the nodes that reach each
+//! other refill the bucket only at their fraction of the rate: the number of reachable nodes over the number
+//! of known nodes. The sum over all sides of a partition never exceeds the full rate.
 //!
-//! In a large deployment only the nodes of a zone tell each other; other zones are known by sums that
-//! arrive later. Then what a whole zone lets pass in that time is bounded by the zone's part as well.
+//! In a large deployment only the nodes of one zone report to each other directly; other zones send summaries
+//! that arrive later. The work that a whole zone admits in the meantime is then bounded by the zone's
+//! fraction as well.
 
 mod account;
 mod reports;
@@ -32,32 +34,33 @@
 use account::{Account, HISTORY_TIME, Refill};
 use reports::{NodeReports, ZoneReports};
 
-/// Longest time that a refused caller is told to wait.
+/// Largest retry delay that is returned to a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
-/// Least wait of a caller refused because others don't know yet what passed here. The nodes of the largest zone
-/// that all tell each other are told within it.
+/// Smallest retry delay of a caller refused because peers have not received this node's report yet. Within
+/// this time the report reaches all nodes of the largest zone whose nodes all report to each other.
 const MIN_REPORT_WAIT: Duration = Duration::from_millis(300);
-/// Part of the burst below which a node tells the others at once what it lets pass.
+/// Fraction of the burst below which a node reports admitted work at once.
 const URGENT_LEVEL_FRACTION: f64 = 0.5;
 
 /// The nodes among which quotas are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaMembership {
-    /// Nodes that hear each other, this one included.
+    /// Nodes that reach each other, this one included.
     pub reachable: usize,
-    /// Nodes that are known, silent ones included.
+    /// Known nodes, unreachable ones included.
     pub known: usize,
-    /// Those heard whose work is learnt at once: all in a small deployment, the zone's in a large one.
+    /// Reachable nodes that report directly to this one: all in a small deployment, those of the zone in a
+    /// large one.
     pub direct: usize,
 }
 
 impl QuotaMembership {
-    /// A deployment all of whose nodes tell each other.
+    /// A deployment in which all nodes report to each other directly.
     pub fn full_mesh(reachable: usize, known: usize) -> Self {
         Self { reachable, known, direct: reachable }
     }
 
-    /// The part of the whole that the nodes told at once may use before the others know.
+    /// The fraction of a quota that the directly reporting nodes may use before the others receive a report.
     fn direct_fraction(self) -> f64 {
         self.direct.max(1) as f64 / self.reachable.max(1) as f64
     }
@@ -76,61 +79,62 @@
     membership: QuotaMembership,
 }
 
-/// What is tolerated beyond every quota, as a share of what a tenant may let pass in one window of time.
+/// Tolerated excess over every quota, as shares of the work that the quota admits in one window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tolerance {
-    /// Share that is used all the time.
+    /// Share that is used continuously.
     pub sustained: f64,
     /// Share that may be used in any one window.
     pub in_window: f64,
-    /// Share that nodes which start may use in all: their accounts don't know what passed before.
+    /// Share that all starting nodes together may use, since their accounts don't know the work admitted
+    /// before.
     pub at_start: f64,
-    /// The window.
+    /// Length of the quota window.
     pub window: Duration,
 }
 
 impl Tolerance {
-    /// The rate at which accounts are refilled, in work a second.
+    /// The refill rate of accounts, in work per second.
     fn rate(self, tenant: &Tenant) -> f64 {
         tenant.rate_per_second * (1.0 + self.sustained)
     }
 
-    /// The most that an account holds.
+    /// The capacity of an account.
     fn burst(self, tenant: &Tenant) -> f64 {
         tenant.burst * (1.0 + self.sustained)
     }
 
-    /// Whether it is known what passed in the window of quotas, where they have one.
+    /// Whether there is a quota window and the recorded work covers it.
     fn covers_window(self) -> bool {
         !self.window.is_zero() && self.window <= HISTORY_TIME
     }
 
-    /// Work that the quota itself lets pass in one window.
+    /// Work that the quota admits in one window, without tolerance.
     fn quota_in_window(self, tenant: &Tenant) -> f64 {
         tenant.rate_per_second * self.window.as_secs_f64() + tenant.burst
     }
 
-    /// Work that may pass in one window.
+    /// Work that may be admitted in one window, with tolerance.
     fn limit_in_window(self, tenant: &Tenant) -> f64 {
         self.quota_in_window(tenant) * (1.0 + self.in_window)
     }
 
-    /// The level with which the account of one of `nodes` begins.
+    /// The initial level of an account at one of `nodes` nodes.
     fn first_level(self, tenant: &Tenant, nodes: usize) -> f64 {
         let per_node = self.quota_in_window(tenant) * self.at_start / nodes.max(1) as f64;
         per_node.min(self.burst(tenant))
     }
 }
 
-/// The tenants' accounts at this node.
+/// Enforces tenant quotas at this node.
 #[derive(Debug)]
 pub struct QuotaLimiter {
     tolerance: Tolerance,
-    /// Work beyond a quota that is tolerated in one window, over all nodes.
+    /// Work beyond a quota that all nodes together may admit in one window.
     slack: f64,
-    /// Number of this node's own life; lives of all nodes are numbered by their start.
+    /// Generation of this node's process. Generations of all nodes are ordered by their start time.
     generation: u64,
-    /// Told when this node has told the others what it let pass.
+    /// Notified when this node has taken a usage report for its peers.
     reported: Notify,
     state: Mutex<State>,
 }
@@ -138,31 +142,31 @@
 /// Work charged to an account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Charge {
-    /// The tenant.
+    /// The charged tenant.
     pub tenant: TenantName,
-    /// The work.
+    /// The charged amount of work.
     pub amount: f64,
-    /// Whether the others should be told at once.
+    /// Whether the admitted work should be reported to peers at once.
     pub is_urgent: bool,
 }
 
-/// A tenant is beyond its quota here.
+/// Work was refused because the tenant has exceeded its quota at this node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaExceeded {
-    /// When the work would fit.
+    /// Delay after which the work would fit.
     pub retry_after: Duration,
-    /// Work that could have passed.
+    /// Work that could have been admitted.
     pub level: f64,
-    /// Work that was asked for.
+    /// Work that was requested.
     pub amount: f64,
     /// The nodes among which the quota was divided.
     pub membership: QuotaMembership,
-    /// Whether it would fit once the others have been told what passed here before.
+    /// Whether the work would fit once peers have received this node's report.
     pub fits_after_report: bool,
 }
 
 impl QuotaLimiter {
-    /// Accounts of a node that assumes to be one of `expected_nodes` until it hears of others.
+    /// Creates a limiter that divides quotas by `expected_nodes` until the membership is set.
     pub fn new(slack: f64, expected_nodes: usize) -> Self {
         let state = State {
             accounts: HashMap::new(),
@@ -179,13 +183,13 @@
         }
     }
 
-    /// The same accounts of a node that uses what is tolerated.
+    /// Sets the tolerated excess over quotas.
     pub fn with_tolerance(mut self, tolerance: Tolerance) -> Self {
         self.tolerance = tolerance;
         self
     }
 
-    /// The account of a tenant with what it has gained since the last look.
+    /// Returns the refilled account of a tenant, creating it if needed.
     fn account<'a>(
         &self,
         accounts: &'a mut HashMap<TenantName, Account>,
@@ -202,7 +206,7 @@
         account
     }
 
-    /// The same accounts of a node whose life has this number.
+    /// Sets the generation of this node.
     pub fn with_generation(mut self, generation: u64) -> Self {
         self.generation = generation;
         self
@@ -212,7 +216,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Charges work to a tenant, unless it is beyond its quota. Tenants without a rate have none.
+    /// Charges work to a tenant unless it exceeds the quota. Tenants without a rate have no quota.
     pub fn charge(
         &self,
         tenant: &Tenant,
@@ -257,14 +261,14 @@
         Ok(Some(Charge { tenant: tenant.name.clone(), amount, is_urgent }))
     }
 
-    /// Gives back work that did not run.
+    /// Refunds work that did not run.
     pub fn refund(&self, charge: &Charge) {
         if let Some(account) = self.lock().accounts.get_mut(&charge.tenant) {
             account.restore(charge.amount);
         }
     }
 
-    /// Work that may pass now, by tenant, as last computed; negative after large work.
+    /// Bucket levels by tenant as of the last refill; negative after work larger than the level.
     pub fn levels(&self) -> Vec<(TenantName, f64)> {
         self.lock().accounts.iter().map(|(tenant, account)| (tenant.clone(), account.level)).collect()
     }
@@ -274,7 +278,7 @@
         self.lock().membership
     }
 
-    /// What this node has let pass since its start, to be told to the others now.
+    /// Returns the work admitted by this node since its start, by tenant, and marks it as reported to peers.
     pub fn take_report(&self) -> Vec<(TenantName, f64)> {
         let mut state = self.lock();
         let totals_of = |(tenant, account): (&TenantName, &mut Account)| {
@@ -286,19 +290,22 @@
         uses
     }
 
-    /// Waits for the next [`Self::tell`], also if it comes before the wait is begun.
+    /// Waits for the next [`Self::take_report`], including one that happens before the future is first
+    /// polled.
     pub fn next_report(&self) -> Notified<'_> {
         self.reported.notified()
     }
 
-    /// What all nodes that tell their own have let pass since this node's start, to be told to other zones.
+    /// Work admitted since this node's start by all directly reporting nodes, for the summary sent to other
+    /// zones.
     pub fn sum_of_nodes(&self) -> Vec<(TenantName, f64)> {
         let state = self.lock();
         state.accounts.iter().map(|(tenant, account)| (tenant.clone(), account.admitted_by_nodes)).collect()
     }
 
-    /// Takes what a peer told of one of its lives. What a peer that started earlier had let pass before
-    /// its first telling is not held against this node's level, which began without it.
+    /// Merges the totals reported by one generation of a peer. If the peer started before this node, the work
+    /// it admitted before its first report is not debited, since this node's initial level did not include
+    /// it.
     pub fn merge_node_usage(
         &self,
         node: &NodeId,
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Takes what a relay told of all nodes of its zone.
+    /// Merges the totals that a relay reported for all nodes of its zone.
     pub fn merge_zone_usage(
         &self,
         zone: &ZoneName,
@@ -342,8 +349,8 @@
         }
     }
 
-    /// Sets the nodes among which quotas are divided, and opens the accounts of all tenants, so that
-    /// what peers tell is held against them from now on.
+    /// Sets the nodes among which quotas are divided, and creates the accounts of all tenants, so that usage
+    /// reported by peers is debited from now on.
     pub fn set_membership<'a>(
         &self,
         membership: QuotaMembership,
--- a/crates/beamwall-gateway/src/quota/reports.rs
+++ b/crates/beamwall-gateway/src/quota/reports.rs
@@ -1,4 +1,5 @@
-//! What others told of the work that they let pass: totals that grow, turned into what is new.
+//! Usage reports of other nodes and zones. Reports carry cumulative totals; this module computes the
+//! increments.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,12 +7,12 @@
 use beamwall_model::{NodeId, TenantName};
 use tokio::time::Instant;
 
-/// Time without a telling after which a node counts as silent: longer than between any two heartbeats.
+/// Time without a report after which a node counts as silent; longer than the time between two heartbeats.
 const NODE_SILENT_AFTER: Duration = Duration::from_millis(1_000);
-/// The same of a zone that is known by sums.
+/// Time without a zone summary after which a zone counts as silent.
 const ZONE_SILENT_AFTER: Duration = Duration::from_millis(2_500);
 
-/// What one node told last.
+/// The latest usage totals reported by one node.
 #[derive(Debug, Default)]
 pub(super) struct NodeReports {
     last_report: Option<Instant>,
@@ -20,13 +21,13 @@
 }
 
 impl NodeReports {
-    /// Whether the node had told nothing for a while, or ever.
+    /// Whether no report has arrived from the node for [`NODE_SILENT_AFTER`], or none at all.
     pub(super) fn was_silent(&self, now: Instant) -> bool {
         is_silent(self.last_report, NODE_SILENT_AFTER, now)
     }
 
-    /// Takes the totals of one life of the node; gives what is new in them. What a life had let pass before
-    /// its first telling is new only where `counts_from_start`.
+    /// Stores the totals of one generation of the node and returns the increments since its previous report.
+    /// Work admitted before the first report counts as an increment only if `counts_from_start`.
     pub(super) fn update_totals(
         &mut self,
         generation: u64,
@@ -53,9 +54,9 @@
     }
 }
 
-/// What the relays of one zone told of all its nodes. Each relay counts since its own start, so each
-/// one's totals are shifted to where the zone stood when it was first heard; the largest shifted total
-/// is what the zone let pass.
+/// Usage totals of one zone, as reported by its relays. Each relay counts from its own start, so its totals
+/// get an offset that aligns them with the zone's total at its first report. The largest aligned total is the
+/// zone's usage.
 #[derive(Debug, Default)]
 pub(super) struct ZoneReports {
     last_report: Option<Instant>,
@@ -63,7 +64,7 @@
     relays: HashMap<NodeId, RelayOffsets>,
 }
 
-/// The shifts of one life of a relay.
+/// The offsets of one generation of a relay.
 #[derive(Debug, Default)]
 struct RelayOffsets {
     generation: u64,
@@ -71,12 +72,13 @@
 }
 
 impl ZoneReports {
-    /// Whether the zone's relays had told nothing for a while, or ever.
+    /// Whether no relay of the zone has reported for [`ZONE_SILENT_AFTER`], or ever.
     pub(super) fn was_silent(&self, now: Instant) -> bool {
         is_silent(self.last_report, ZONE_SILENT_AFTER, now)
     }
 
-    /// Takes the totals that one life of a relay told; gives what is new in them.
+    /// Stores the totals reported by one generation of a relay and returns the increments of the zone's
+    /// usage.
     pub(super) fn update_totals(
         &mut self,
         relay: &NodeId,
--- a/crates/beamwall-gateway/src/stream/event_gap.rs
+++ b/crates/beamwall-gateway/src/stream/event_gap.rs
@@ -1,11 +1,11 @@
-//! How fast the events of one stream come, by the clock that counts while this process runs.
+//! Measures the time between the events of one stream, by the clock that counts only while this process runs.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Least time over which the time between events is measured: several events of a usual engine, and far less than the
-/// time within which one that has turned slow must be known.
+/// Shortest time over which the gap between events is averaged: it spans several events of a typical engine
+/// and is far shorter than the time within which an engine that has become slow must be detected.
 const MIN_SAMPLE_TIME: Duration = Duration::from_millis(200);
 
 /// Measures the time between the events of one stream.
@@ -17,12 +17,12 @@
 }
 
 impl EventGapMeter {
-    /// A stream whose first events have just come.
+    /// Starts measuring when the first events of a stream have arrived.
     pub(super) fn new(now: Instant) -> Self {
         Self { sample_start: now, events: 0, first_event_at: now }
     }
 
-    /// Notes events that came; gives the mean time between two, in milliseconds, once that is measured.
+    /// Counts received events and returns the mean gap in milliseconds once a sample is complete.
     pub(super) fn add_events(&mut self, count: u32, now: Instant) -> Option<f64> {
         self.events += count;
         let elapsed = now.duration_since(self.sample_start);
@@ -35,13 +35,14 @@
         Some(mean_gap_ms)
     }
 
-    /// The mean time between the last events of a stream that has ended, in milliseconds: of a short one, all.
+    /// The mean gap in milliseconds since the last complete sample, at the end of the stream. For a stream
+    /// shorter than one sample, this covers all events.
     pub(super) fn final_gap_ms(&self, now: Instant) -> Option<f64> {
         let elapsed = now.duration_since(self.sample_start);
         (self.events > 0).then(|| milliseconds(elapsed) / f64::from(self.events))
     }
 
-    /// Time since the first events, in milliseconds.
+    /// Milliseconds since the first events.
     pub(super) fn elapsed_ms(&self, now: Instant) -> f64 {
         milliseconds(now.duration_since(self.first_event_at))
     }
--- a/crates/beamwall-gateway/src/stream/first_event_wait.rs
+++ b/crates/beamwall-gateway/src/stream/first_event_wait.rs
@@ -1,4 +1,4 @@
-//! How long a stream waits for its first events before another engine is looked for.
+//! Decides how long a stream waits for its first events before it fails over to another engine.
 
 use std::time::Duration;
 
@@ -10,29 +10,30 @@
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 
-/// Part of the objective that a first event may take before a silent engine is left, in hundredths.
+/// Percentage of the latency objective after which a silent engine may be abandoned.
 const FIRST_EVENT_PERCENT: u32 = 100;
-/// Multiple of the expected time after which a silent engine is left.
+/// Multiple of the expected time before which a silent engine is not abandoned.
 const EXPECTED_TIME_MULTIPLE: u32 = 3;
-/// The same where this node has no other stream at the engine: its silence to one request says little.
+/// Percentage of the objective if nothing else confirms the silence: this node has no other stream open at
+/// the engine, and the silence of a single request says little.
 const UNCONFIRMED_SILENCE_PERCENT: u32 = 300;
-/// Time between two looks at whether an engine is still silent.
+/// Interval at which a silent engine is checked again.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a stream waits for its first events: without end where it may not move or the engine
-/// sends to others, else until it is well past the time expected.
+/// The wait for the first events of a stream. It is unlimited if the request may not fail over or the engine
+/// still sends to other requests; otherwise it ends well after the expected time.
 pub(super) struct FirstEventWait<'a> {
     forwarder: &'a Forwarder,
     backend: &'a BackendId,
     can_fail_over: bool,
-    /// By the clock that counts while this process runs, as all times here.
+    /// Time after which an engine confirmed to be silent is abandoned. As all times here, it is read from the
+    /// clock that counts only while this process runs.
     soft_deadline: Instant,
-    /// When it is left also without a sign that it is dead.
+    /// Time after which the engine is abandoned without confirmation that it is dead.
     hard_deadline: Instant,
 }
 
 impl<'a> FirstEventWait<'a> {
-    /// The patience with one chosen engine.
     pub(super) fn new(
         forwarder: &'a Forwarder,
         call: &Call,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns when the engine shall be left for another.
+    /// Completes when the request should fail over to another engine.
     pub(super) async fn expired(&self) {
         if !self.can_fail_over {
             return std::future::pending().await;
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Whether the engine's silence tells something: it is not listed any more, it owes events to other
-    /// streams of this node, or it has been silent for very long.
+    /// Whether the engine's silence is significant: the engine is no longer listed, other streams of this
+    /// node are waiting for its events, or the hard deadline has passed.
     fn is_silence_confirmed(&self) -> bool {
         let is_unlisted = self.forwarder.directory.load().get(self.backend).is_none();
         let owes_events = self.forwarder.knowledge.loads.answering(self.backend) > 0;
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -1,5 +1,5 @@
-//! Event streams: whole events are passed on as they come, and a stream that breaks off is continued
-//! at another engine where the route allows it.
+//! Forwards event streams. Whole events are forwarded as they arrive, and a stream that fails is resumed at
+//! another engine if the route allows it.
 
 mod event_gap;
 mod first_event_wait;
@@ -27,7 +27,7 @@
 use crate::stream::source::{Piece, Source};
 use crate::unary;
 
-/// Forwards a call whose answer is an event stream. Returns once the first events are there.
+/// Forwards a call whose response is an event stream. Returns once the first events have arrived.
 pub async fn forward(forwarder: &Arc<Forwarder>, call: &Arc<Call>) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::default();
     let mut next = attempts.first_choice(forwarder, call).await;
@@ -49,7 +49,7 @@
     Err(attempts.refusal(call))
 }
 
-/// Refuses a call that is known not to be servable before its caller's patience ends.
+/// Refuses a call that is not expected to be served before its deadline.
 fn check_servable(forwarder: &Forwarder, call: &Call, choice: &Choice) -> Result<(), Refusal> {
     let estimates = forwarder.estimates(&call.service);
     let remaining = call.remaining();
@@ -60,28 +60,29 @@
     }
 }
 
-/// How an attempt began.
+/// Response of an engine to an attempt.
 enum AttemptStart {
-    /// A stream.
+    /// An event stream.
     Stream(Box<StartedStream>),
-    /// Another answer, read whole.
+    /// Another response, read completely.
     Answer(Response<Body>),
 }
 
-/// A stream that has begun.
+/// A stream whose first events have arrived.
 struct StartedStream {
     head: StreamHead,
     source: Source,
     first: Piece,
 }
 
-/// The head of a stream's answer.
+/// Status and headers of a streaming response.
 struct StreamHead {
     status: StatusCode,
     headers: HeaderMap,
 }
 
-/// Opens a stream at one back end and waits for its first events. It is left where it is silent and another takes the request.
+/// Opens a stream at one back end and waits for its first events. The attempt is abandoned if the back end is
+/// silent and another one can take the request.
 async fn start_attempt(
     forwarder: &Arc<Forwarder>,
     call: &Call,
@@ -139,8 +140,8 @@
     Ok(AttemptStart::Stream(Box::new(StartedStream { head, source, first })))
 }
 
-/// Notes how long the engine took to its first event. Events that were ready when asked for, as those of a
-/// stream that continues, tell as much.
+/// Records the engine's time to first event. Events that were ready before the request, as in a resumed
+/// stream, count as well.
 fn note_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, and moves it to another engine when the first breaks off.
+//! Relays a stream to its caller and resumes it at another engine when the current one fails.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 use crate::stream::source::{Piece, Source, scan_events};
 use crate::stream::{AttemptStart, StartedStream, start_attempt};
 
-/// Pieces that a slow caller may lag behind before its own relay waits.
+/// Number of pieces buffered for a slow caller before its relay task waits.
 const CHANNEL_CAPACITY: usize = 64;
-/// Silence between two events after which another engine is looked for.
+/// Silence between two events after which the relay looks for another engine.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Starts the task that passes a stream on; gives the answer whose body it writes.
+/// Spawns the task that relays a stream and returns the response whose body it writes.
 pub(super) fn relay(
     forwarder: &Arc<Forwarder>,
     call: &Arc<Call>,
@@ -48,7 +48,7 @@
     response
 }
 
-/// The task that passes one stream on.
+/// The task that relays one stream.
 struct Relay {
     forwarder: Arc<Forwarder>,
     call: Arc<Call>,
@@ -64,7 +64,7 @@
     Failed(FailedAttempt),
 }
 
-/// What a relay that waits for an engine gets.
+/// Result of waiting for an engine.
 enum WaitOutcome {
     Piece(Piece),
     CallerGone,
@@ -86,7 +86,7 @@
                     return emit(&CallerGone { request, backend: choice.backend.to_string() });
                 }
                 Stop::Failed(failed) => {
-                    // The connection closes here, before another engine is asked.
+                    // Closes the connection before another engine is contacted.
                     drop(source);
                     match self.resume_elsewhere(&choice, failed).await {
                         Some(started) => {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Passes pieces on until the engine's stream ends.
+    /// Forwards pieces to the caller until the engine's stream ends.
     async fn forward_pieces(&mut self, source: &mut Source, first: Option<Piece>) -> Stop {
         let mut next = first;
         let mut gap_meter: Option<EventGapMeter> = None;
@@ -165,7 +165,8 @@
         models.note_event_gap(service, &source.choice.backend, running, mean_gap_ms, Instant::now());
     }
 
-    /// Waits for the next piece. A silent engine is left only where another takes the stream: late events are better than none.
+    /// Waits for the next piece. A silent engine is abandoned only if another one takes the stream: late
+    /// events are better than none.
     async fn wait(&mut self, source: &mut Source, time_is_up: impl Future<Output = ()>) -> WaitOutcome {
         let Self { forwarder, call, attempts, sender, .. } = self;
         let can_fail_over = call.may_fail_over(attempts.sent);
@@ -178,7 +179,7 @@
             failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent_backend).await
         };
         tokio::select! {
-            // What has come goes before what says that nothing came.
+            // Received data takes precedence over timeouts.
             biased;
             piece = source.next_piece() => WaitOutcome::Piece(piece),
             () = sender.disconnected() => WaitOutcome::CallerGone,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Continues the stream after the last event that was passed on, where `from` gave no more.
+    /// Resumes the stream at another engine after the last forwarded event, when `from` has failed.
     async fn resume_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<StartedStream> {
         let FailedAttempt { failure, next } = failed;
         self.forwarder.knowledge.health.note(&from.backend, true, Instant::now());
@@ -239,7 +240,7 @@
         });
     }
 
-    /// Ends the answer as broken, so that the caller can't take it for a whole one.
+    /// Aborts the response, so that the caller cannot mistake it for a complete one.
     async fn abort_stream(self, backend: &BackendId) {
         let reason = self.attempts.last_failure.as_ref().map(|failure| failure.reason.clone());
         emit(&StreamBroken {
--- a/crates/beamwall-gateway/src/stream/source.rs
+++ b/crates/beamwall-gateway/src/stream/source.rs
@@ -1,4 +1,4 @@
-//! The stream of one engine: its bytes as whole events, and how it ended.
+//! Reads the event stream of one engine: splits its bytes into whole events and detects how it ends.
 
 use beamwall_http::PooledBody;
 use bytes::{Bytes, BytesMut};
@@ -9,34 +9,35 @@
 use crate::load::OpenWork;
 use crate::placement::Choice;
 
-/// What came from an engine.
+/// Result of reading from an engine's stream.
 pub(super) enum Piece {
     /// Whole events.
     Events(Bytes),
     /// The whole stream ended.
     End,
-    /// It broke off.
+    /// The stream ended prematurely or is not an event stream.
     Broken(AttemptFailure),
 }
 
 /// The stream of one engine.
 pub(super) struct Source {
-    /// The engine, and what decided for it.
+    /// The chosen engine and the estimates behind the choice.
     pub(super) choice: Choice,
     body: PooledBody,
     pub(super) work: OpenWork,
     splitter: EventSplitter,
-    /// Whether the answer's own framing tells its end.
+    /// Whether the HTTP framing of the response marks its end.
     is_framed: bool,
 }
 
 impl Source {
-    /// The stream of an answer whose head came; `is_framed`: the answer's own framing tells its end.
+    /// Creates the source for a response whose head was received. `is_framed`: its HTTP framing marks its
+    /// end.
     pub(super) fn new(choice: &Choice, body: PooledBody, work: OpenWork, is_framed: bool) -> Self {
         Self { choice: choice.clone(), body, work, splitter: EventSplitter::default(), is_framed }
     }
 
-    /// Waits for whole events; all that are there are given out at once.
+    /// Waits for whole events and returns all that are available.
     pub(super) async fn next_piece(&mut self) -> Piece {
         loop {
             if let Some(events) = self.take_events() {
@@ -65,8 +66,8 @@
         (!events.is_empty()).then(|| events.freeze())
     }
 
-    /// The stream's end: with framing of its own it is whole whatever its last bytes are; without,
-    /// only between two events.
+    /// Handles the end of the body. A framed body is complete whatever its last bytes are; an unframed one is
+    /// complete only if it ends between two events.
     fn end(&mut self) -> Piece {
         let rest = self.splitter.rest().to_vec();
         match (rest.is_empty(), self.is_framed) {
@@ -80,16 +81,16 @@
     }
 }
 
-/// What a run of whole events holds.
+/// Summary of a batch of whole events.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EventBatch {
-    /// How many events.
+    /// Number of events.
     pub(super) count: u32,
-    /// The number of the last one that carries any.
+    /// Id of the last event that has one.
     pub(super) last: Option<u64>,
 }
 
-/// Reads a run of whole events.
+/// Counts the events of a batch and finds the last event id.
 pub(super) fn scan_events(events: &[u8]) -> EventBatch {
     let mut splitter = EventSplitter::default();
     splitter.push(events);
