--- a/crates/beamwall-gateway/tests/back_end_restart.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -15,8 +15,8 @@
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
-fn life(born_ms: u64) -> Backend {
-    support::life("e1", born_ms)
+fn backend_started_at(born_ms: u64) -> Backend {
+    support::backend_started_at("e1", born_ms)
 }
 
 fn prompt() -> Prompt {
@@ -64,22 +64,23 @@
     let knowledge = Knowledge::default();
     support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     let mut directory = Directory::default();
-    directory.replace(DirectorySnapshot { revision: 1, backends: vec![life(1)] }, Vanishing::Gone);
-    record_all(&knowledge, &life(1).id, Instant::now());
+    directory
+        .replace(DirectorySnapshot { revision: 1, backends: vec![backend_started_at(1)] }, Vanishing::Gone);
+    record_all(&knowledge, &backend_started_at(1).id, Instant::now());
     let before = candidate(&knowledge, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
     assert_eq!(before.load.requests, 8, "seven were told, one is placed and not told yet");
     // Its shared parts are assumed kept either way; the request's own part only by the life that read it.
     assert_eq!(before.reading.expect("a prompt").tokens, 0);
 
-    let changes = vec![DirectoryChange::Changed(life(2))];
+    let changes = vec![DirectoryChange::Changed(backend_started_at(2))];
     directory.apply(1, DirectoryChanges { revision: 2, changes }, Vanishing::Gone);
     knowledge.follow(&directory);
-    report_loads(&knowledge, &life(1).id);
+    report_loads(&knowledge, &backend_started_at(1).id);
     tokio::time::advance(Duration::from_millis(10)).await;
     knowledge.models.refresh(Instant::now());
     let after = candidate(&knowledge, &directory);
-    assert_eq!(after.backend, life(2).id);
+    assert_eq!(after.backend, backend_started_at(2).id);
     assert_eq!((after.load, after.slowness), (OpenLoad::default(), 1.0));
     assert!(!after.health.unreachable && after.health.failure_share == 0.0);
     assert_eq!(after.reading.expect("a prompt").tokens, 1_000);
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -72,9 +72,9 @@
 
 #[test]
 fn a_normal_failure_share_does_not_raise_the_cost() {
-    let usual =
+    let normal =
         Candidate { health: HealthView { failure_share: 0.2, unreachable: false }, ..candidate("usual") };
-    assert!((cost_ms(&usual) - cost_ms(&candidate("well"))).abs() < 1e-9);
+    assert!((cost_ms(&normal) - cost_ms(&candidate("well"))).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -18,7 +18,7 @@
 const REQUESTS: usize = 60;
 
 /// What requests truly take at engines `factor` times as fast.
-fn reading_ms(reading: Reading, factor: f64) -> f64 {
+fn prefill_ms(reading: Reading, factor: f64) -> f64 {
     support::prefill_ms(reading) / factor
 }
 
@@ -35,8 +35,8 @@
             tokens_ahead: number * 104_729 % 15_000,
             running: (number % 24) as u32,
         };
-        let ahead_ms = reading_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
-        let actual_ms = 5.0 + reading_ms(of.reading, factor) + ahead_ms;
+        let ahead_ms = prefill_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
+        let actual_ms = 5.0 + prefill_ms(of.reading, factor) + ahead_ms;
         // Up to a tenth off, and one in twenty four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
@@ -67,7 +67,7 @@
     /// Time from now until the engine would begin to answer.
     fn start_delay_ms(&self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
         let wait_ms = (self.free_at_ms[engine] - now_ms).max(0.0);
-        wait_ms + reading_ms(self.reading(engine, session, tokens), self.factor)
+        wait_ms + prefill_ms(self.reading(engine, session, tokens), self.factor)
     }
 
     fn assign(&mut self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -204,7 +204,7 @@
 }
 
 /// One life of the back end `b1`, at an address of its own.
-fn life(born_ms: u64) -> Backend {
+fn backend_started_at(born_ms: u64) -> Backend {
     let instance = "b1".into();
     let address = ([127, 0, 0, 2], 9_000 + born_ms as u16).into();
     Backend {
@@ -215,44 +215,58 @@
     }
 }
 
-fn lives(directory: &Directory) -> Vec<BackendId> {
+fn usable_ids(directory: &Directory) -> Vec<BackendId> {
     directory.usable(&"model".into()).map(|backend| backend.id.clone()).collect()
 }
 
 #[test]
 fn a_restarted_back_end_with_the_same_name_is_a_different_one() {
-    let mut directory = listed(10, vec![life(1)]);
-    let changed = |born_ms| vec![DirectoryChange::Changed(life(born_ms))];
+    let mut directory = listed(10, vec![backend_started_at(1)]);
+    let changed = |born_ms| vec![DirectoryChange::Changed(backend_started_at(born_ms))];
     assert!(directory.apply(10, changes(11, changed(2)), Vanishing::Gone));
-    assert_eq!(lives(&directory), [life(2).id]);
-    assert!(directory.get(&life(1).id).is_none(), "nothing is sent to the life that has ended");
-    assert_eq!(directory.get(&life(2).id).map(|backend| backend.address), Some(life(2).address));
+    assert_eq!(usable_ids(&directory), [backend_started_at(2).id]);
+    assert!(directory.get(&backend_started_at(1).id).is_none(), "nothing is sent to the life that has ended");
+    assert_eq!(
+        directory.get(&backend_started_at(2).id).map(|backend| backend.address),
+        Some(backend_started_at(2).address)
+    );
 }
 
 #[test]
-fn entries_of_two_lives_in_the_wrong_order_lead_to_the_later_one() {
-    let changed = |born_ms| DirectoryChange::Changed(life(born_ms));
-    let mut watched = listed(10, vec![life(1)]);
+fn entries_of_two_processes_in_the_wrong_order_lead_to_the_later_one() {
+    let changed = |born_ms| DirectoryChange::Changed(backend_started_at(born_ms));
+    let mut watched = listed(10, vec![backend_started_at(1)]);
     assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), Vanishing::Gone));
-    assert_eq!(lives(&watched), [life(2).id]);
+    assert_eq!(usable_ids(&watched), [backend_started_at(2).id]);
     // Whoever lists the earlier life's last entry goes by what it knows.
-    assert!(watched.replace(DirectorySnapshot { revision: 13, backends: vec![life(1)] }, Vanishing::Gone));
-    assert_eq!(lives(&watched), [life(2).id]);
-    let mut peer = listed(10, vec![life(1)]);
+    assert!(
+        watched.replace(
+            DirectorySnapshot { revision: 13, backends: vec![backend_started_at(1)] },
+            Vanishing::Gone
+        )
+    );
+    assert_eq!(usable_ids(&watched), [backend_started_at(2).id]);
+    let mut peer = listed(10, vec![backend_started_at(1)]);
     let received = watched.changes_since(12).expect("known");
     assert!(peer.apply(10, watched.changes_since(10).expect("known"), Vanishing::Gone));
     assert!(peer.apply(12, received, Vanishing::Gone) || peer.revision() == 13);
-    assert_eq!(lives(&peer), [life(2).id]);
+    assert_eq!(usable_ids(&peer), [backend_started_at(2).id]);
 }
 
 #[test]
-fn outdated_changes_of_an_earlier_life_are_ignored_by_a_partitioned_node() {
-    let mut directory = listed(10, vec![life(1)]);
-    directory.apply(10, changes(15, vec![DirectoryChange::Changed(life(2))]), Vanishing::Gone);
-    let old = changes(12, vec![DirectoryChange::Changed(Backend { draining: true, ..life(1) })]);
+fn outdated_changes_of_an_earlier_process_are_ignored_by_a_partitioned_node() {
+    let mut directory = listed(10, vec![backend_started_at(1)]);
+    directory.apply(10, changes(15, vec![DirectoryChange::Changed(backend_started_at(2))]), Vanishing::Gone);
+    let old =
+        changes(12, vec![DirectoryChange::Changed(Backend { draining: true, ..backend_started_at(1) })]);
     assert!(!directory.apply(10, old, Vanishing::Gone));
-    assert!(!directory.replace(DirectorySnapshot { revision: 12, backends: vec![life(1)] }, Vanishing::Gone));
-    assert_eq!(lives(&directory), [life(2).id]);
+    assert!(
+        !directory.replace(
+            DirectorySnapshot { revision: 12, backends: vec![backend_started_at(1)] },
+            Vanishing::Gone
+        )
+    );
+    assert_eq!(usable_ids(&directory), [backend_started_at(2).id]);
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/list_doubts.rs
+++ b/crates/beamwall-gateway/tests/directory_staleness.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_back_end_unreachable_for_long_raises_a_doubt_and_one_that_answers_does_not() {
+fn a_back_end_unreachable_for_long_is_evidence_and_one_that_answers_is_not() {
     let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1, 2]), Instant::now());
     for tenth in 0..30 {
         let now = now + SECOND * tenth / 10;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_back_end_unlisted_or_not_tried_for_long_raises_no_doubt() {
+fn a_back_end_unlisted_or_not_tried_for_long_is_no_evidence() {
     let (doubts, directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     for second in 0..4 {
         doubts.note_unreached(&"b1".into(), now + SECOND * second);
@@ -124,7 +124,7 @@
 
 /// Guards against a leaving back end, which refuses connections as it ends, being taken for a fault of the list.
 #[test]
-fn a_draining_back_end_that_refuses_connections_raises_no_doubt() {
+fn a_draining_back_end_that_refuses_connections_is_no_evidence() {
     let (doubts, mut directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
     let leaving = DirectoryChange::Changed(Backend { draining: true, ..backend(1) });
     directory.apply(5, DirectoryChanges { revision: 6, changes: vec![leaving] }, Vanishing::Gone);
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -36,7 +36,7 @@
 }
 
 /// Time that an engine takes to read a whole prompt.
-fn reading_ms(tokens: u64) -> f64 {
+fn prefill_ms(tokens: u64) -> f64 {
     support::prefill_ms(Reading::of_rest(0, tokens))
 }
 
@@ -114,10 +114,10 @@
                 "{} instead of {shortest_wait_ms}",
                 wait_ms(&chosen)
             );
-            let reading_ms = reading_ms(u64::from(prompt.prompt_tokens));
-            knowledge.queues.add(&chosen, reading_ms, now);
+            let prefill_ms = prefill_ms(u64::from(prompt.prompt_tokens));
+            knowledge.queues.add(&chosen, prefill_ms, now);
             let begin = now_ms + wait_ms(&chosen);
-            free_at_ms.insert(chosen, begin + reading_ms);
+            free_at_ms.insert(chosen, begin + prefill_ms);
         }
         Ok(())
     });
@@ -147,8 +147,8 @@
     assert_eq!(Reading::of_rest(6_000, 0), Reading::default());
     assert_eq!(Reading::of_rest(6_000, 3_000), Reading { tokens: 3_000, pairs: 22_500_000 });
     let estimates = support::typical_statistics().estimates();
-    for (kept, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
-        let reading = Reading::of_rest(kept, unread);
+    for (cached, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
+        let reading = Reading::of_rest(cached, unread);
         let (estimated, actual) =
             (estimates.reading_ms(reading).expect("known"), support::prefill_ms(reading));
         assert!((estimated / actual - 1.0).abs() < 0.05, "{estimated} instead of {actual} for {reading:?}");
@@ -163,7 +163,7 @@
     let now = Instant::now();
     let (long, short): (BackendId, BackendId) = ("e0".into(), "e1".into());
     for (engine, tokens) in [(&long, 20_000), (&short, 10_000), (&short, 10_000)] {
-        knowledge.queues.add(engine, reading_ms(tokens), now);
+        knowledge.queues.add(engine, prefill_ms(tokens), now);
     }
     for number in 0..10 {
         assert_eq!(place(&knowledge, &directory, &unique_prompt(500, number), &[]), short);
@@ -176,7 +176,7 @@
     let (directory, knowledge) = (directory(2), knowledge());
     let (crashed, busy): (BackendId, BackendId) = ("e0".into(), "e1".into());
     let now = Instant::now();
-    knowledge.queues.add(&busy, reading_ms(10_000), now);
+    knowledge.queues.add(&busy, prefill_ms(10_000), now);
     let prompt = unique_prompt(500, 1);
     assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed);
     knowledge.reports.note(&"n1".into(), std::slice::from_ref(&crashed), now);
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -45,7 +45,7 @@
     Prompt { prompt_tokens: tokens, output_tokens: 10, parts: vec![PromptPart { id: number, tokens }] }
 }
 
-fn reading_ms(tokens: u32) -> f64 {
+fn prefill_ms(tokens: u32) -> f64 {
     support::prefill_ms(Reading::of_rest(0, u64::from(tokens)))
 }
 
@@ -63,8 +63,8 @@
     let estimates = knowledge.models.estimates(search.service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
     let chosen = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-    let reading_ms = estimates.reading_ms(Reading::of_rest(0, u64::from(prompt.prompt_tokens)));
-    knowledge.queues.add(&chosen, reading_ms.expect("known"), Instant::now());
+    let prefill_ms = estimates.reading_ms(Reading::of_rest(0, u64::from(prompt.prompt_tokens)));
+    knowledge.queues.add(&chosen, prefill_ms.expect("known"), Instant::now());
     chosen
 }
 
@@ -97,7 +97,7 @@
 async fn wait_p90_ms(scheme: impl PlacementScheme) -> f64 {
     let directory = directory(ENGINES);
     let mut random = SmallRng::seed_from_u64(7);
-    let mean_ms = LENGTHS.iter().map(|tokens| reading_ms(*tokens)).sum::<f64>() / LENGTHS.len() as f64;
+    let mean_ms = LENGTHS.iter().map(|tokens| prefill_ms(*tokens)).sum::<f64>() / LENGTHS.len() as f64;
     let pause_ms = mean_ms / (ENGINES as f64 * BUSY);
     let mut free_at: HashMap<BackendId, Instant> = HashMap::new();
     let mut waits = Vec::new();
@@ -109,7 +109,7 @@
         let chosen = scheme.place(&directory, &unique_prompt(tokens, number), random.random());
         let free = free_at.entry(chosen).or_insert(now);
         let starts = (*free).max(now);
-        *free = starts + Duration::from_secs_f64(reading_ms(tokens) / 1_000.0);
+        *free = starts + Duration::from_secs_f64(prefill_ms(tokens) / 1_000.0);
         waits.push((starts - now).as_secs_f64() * 1_000.0);
     }
     waits.sort_by(f64::total_cmp);
--- a/crates/beamwall-gateway/tests/quota_fleet.rs
+++ b/crates/beamwall-gateway/tests/quota_fleet.rs
@@ -367,9 +367,9 @@
     // 48,000 were withheld: four seconds of a fifth of the rate.
     let admitted: f64 = fleet.admitted.iter().map(|(_, amount)| amount).sum();
     let gained = RATE * STEP.as_secs_f64() * fleet.step as f64;
-    let left = BURST + gained - admitted;
+    let remaining = BURST + gained - admitted;
     let level = fleet.limiters[1].levels()[0].1;
-    assert!(level >= left - 10_000.0, "{level} of {left} may pass now");
+    assert!(level >= remaining - 10_000.0, "{level} of {remaining} may be admitted now");
 }
 
 /// What passed longer ago than it is kept would be missing in such a window.
--- a/crates/beamwall-gateway/tests/ranks.rs
+++ b/crates/beamwall-gateway/tests/ranks.rs
@@ -11,8 +11,8 @@
 
 /// The rank of such a request.
 fn rank(route_rank: u8, tenant_rank: Option<u8>, prompt_tokens: u32) -> u8 {
-    let reading_ms = f64::from(prompt_tokens) / TOKENS_PER_MS;
-    call(route_rank, tenant_rank, prompt_tokens).rank(Some(reading_ms))
+    let prefill_ms = f64::from(prompt_tokens) / TOKENS_PER_MS;
+    call(route_rank, tenant_rank, prompt_tokens).rank(Some(prefill_ms))
 }
 
 /// On busy days of both sites chats, the least urgent kind, waited for seconds behind prompts ten times as long.
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -46,18 +46,18 @@
 
 /// A zone's supply; the one lasting back end that is kept in all is in the first zone.
 fn supply(zone: &str, reclaimable_usable: u32, is_exhausted: bool) -> ZoneSupply {
-    let lasting = u32::from(zone == "a");
+    let on_demand = u32::from(zone == "a");
     ZoneSupply {
         zone: zone.into(),
-        lasting_usable: lasting,
+        lasting_usable: on_demand,
         reclaimable_usable,
-        lasting_ordered: lasting,
+        lasting_ordered: on_demand,
         is_exhausted,
     }
 }
 
 #[test]
-fn an_idle_zone_keeps_one_lasting_and_one_reclaimable() {
+fn an_idle_zone_keeps_one_on_demand_and_one_reclaimable() {
     let zones = [supply("a", 0, false)];
     assert_eq!(planned(&limits(true), &zones, 0.0, 0), [(false, 1), (true, 1)]);
 }
@@ -69,7 +69,7 @@
 
 /// On a busy day a reclaim left three lasting engines and none could be had for 13 s.
 #[test]
-fn what_cannot_be_had_as_reclaimable_is_ordered_as_lasting() {
+fn unavailable_reclaimable_back_ends_are_ordered_as_on_demand() {
     let zones = [supply("a", 0, true), supply("b", 1, false)];
     let limits = limits(true);
     // Load 3.6 needs six back ends that stand in: two lasting and one reclaimable are there.
@@ -131,17 +131,17 @@
 
 /// On a busy day four lasting engines a zone were ordered and given back every five seconds.
 #[test]
-fn stand_ins_stay_until_reclaimable_ones_take_requests() {
+fn substitutes_stay_until_reclaimable_back_ends_take_requests() {
     let limits = limits(true);
-    let lasting = |supply: ZoneSupply| {
+    let on_demand = |supply: ZoneSupply| {
         let zones = [supply];
         planned(&limits, &zones, 1.8, 0)[0].1
     };
-    assert_eq!(lasting(supply("a", 0, true)), 3);
+    assert_eq!(on_demand(supply("a", 0, true)), 3);
     let booting = ZoneSupply { lasting_ordered: 4, ..supply("a", 0, false) };
-    assert_eq!(lasting(booting.clone()), 3, "the order was taken, but none serves yet");
-    assert_eq!(lasting(ZoneSupply { reclaimable_usable: 1, ..booting.clone() }), 2);
-    assert_eq!(lasting(ZoneSupply { reclaimable_usable: 2, ..booting }), 1);
+    assert_eq!(on_demand(booting.clone()), 3, "the order was taken, but none serves yet");
+    assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 1, ..booting.clone() }), 2);
+    assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 2, ..booting }), 1);
 }
 
 #[test]
@@ -203,7 +203,7 @@
 /// On a busy day three zones lost their reclaimable engines one after another, six seconds apart, and lasting
 /// ones took four seconds to boot each time.
 #[test]
-fn stand_ins_carry_the_load_through_the_next_loss() {
+fn substitutes_carry_the_load_through_the_next_loss() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     let zones = [supply("a", 0, true), supply("b", 10, false), supply("c", 10, false)];
     // Load 13.8 needs 23 now, which are there, and 17 when one zone has lost its ten, too.
@@ -215,7 +215,7 @@
 /// On a busy day the lease went to another node in the middle of a dry spell. It ordered one lasting engine a
 /// zone, and 18 stand-ins left.
 #[test]
-fn a_new_holder_keeps_the_stand_ins_that_it_finds() {
+fn a_new_lease_holder_keeps_existing_substitutes() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     let found = |zone| ZoneSupply { lasting_usable: 6, lasting_ordered: 6, ..supply(zone, 5, false) };
     let zones = [found("a"), found("b")];
@@ -246,7 +246,7 @@
 
 /// A zone may be cut off from the others next, and must then serve its own callers.
 #[test]
-fn a_zone_that_has_lost_all_and_can_get_none_keeps_its_minimum_in_lasting_ones() {
+fn a_zone_without_available_reclaimable_back_ends_keeps_its_minimum_as_on_demand() {
     let zones = [supply("a", 9, false), supply("b", 9, false), supply("c", 0, true)];
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     assert_eq!(wanted_at(1.0, &zones, &limits, false), [1, 0, 1]);
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn more_work_or_less_fullness_never_needs_fewer() {
+fn more_work_or_lower_utilization_never_needs_fewer() {
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)?;
@@ -81,7 +81,7 @@
 /// Many engines whose requests are placed by who knows all of them need less headroom each: at 60 engines a third of
 /// their time would be three times what random arrivals need.
 #[test]
-fn many_back_ends_may_be_fuller_than_few() {
+fn many_back_ends_may_have_higher_utilization_than_few() {
     for count in 1..=25 {
         assert_eq!(usual_fullness(count), USUAL, "{count} back ends");
     }
@@ -97,7 +97,7 @@
 
 /// At several speeds of engines: more work never needs fewer, and the fewest that do are chosen.
 #[test]
-fn the_usual_number_is_the_fewest_however_many_they_are() {
+fn the_normal_number_is_the_fewest_at_any_size() {
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)? * f64::from(random.int_in_range(1..=20_u32)?);
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -87,10 +87,10 @@
         let estimates = self.placer.models.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
         let engine = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-        let reading_ms = support::prefill_ms(Reading::of_rest(0, tokens));
-        self.placer.queues.add(&engine, reading_ms, now);
+        let prefill_ms = support::prefill_ms(Reading::of_rest(0, tokens));
+        self.placer.queues.add(&engine, prefill_ms, now);
         let completes_at =
-            now + Duration::from_secs_f64(service_time_ms(&engine, 5.0 + reading_ms) / 1_000.0);
+            now + Duration::from_secs_f64(service_time_ms(&engine, 5.0 + prefill_ms) / 1_000.0);
         let completes_at = std::cmp::Reverse(completes_at);
         self.in_flight.push(InFlightRequest {
             completes_at,
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -45,8 +45,8 @@
     survivor.merge(&"n1".into(), 1, killed.recent(3));
     for _ in 0..2 {
         // Twice: what is known counts once.
-        for (node, life, counts) in survivor.lives(3) {
-            started.merge(&node, life, counts);
+        for (node, generation, counts) in survivor.lives(3) {
+            started.merge(&node, generation, counts);
         }
     }
     started.record(&"alder".into(), second(12));
@@ -57,10 +57,10 @@
 #[test]
 fn counts_of_processes_that_ended_long_ago_are_removed() {
     let ledger = UsageLedger::new(WINDOW);
-    for life in 0..100 {
+    for generation in 0..100 {
         let counted = UsageLedger::new(WINDOW);
-        counted.record(&"alder".into(), second(life * 5));
-        ledger.merge(&"n1".into(), life, counted.recent(3));
+        counted.record(&"alder".into(), second(generation * 5));
+        ledger.merge(&"n1".into(), generation, counted.recent(3));
     }
     assert!(ledger.lives(3).len() < 20);
     assert_eq!(ledger.total(99).counts, [("alder".into(), 1)].into());
@@ -133,9 +133,9 @@
 #[test]
 fn totals_are_at_least_the_stored_counts_and_at_most_the_requests_run() {
     beamwall_seeds::on_seeds(2_000, |random| {
-        let mut lives = [0_u64; 3];
-        let new = |node: usize, life: u64| {
-            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), life)
+        let mut generations = [0_u64; 3];
+        let new = |node: usize, generation: u64| {
+            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), generation)
         };
         let mut nodes: Vec<UsageLedger> = (0..3).map(|node| new(node, 0)).collect();
         let (mut ran, mut stored, mut stored_total) = (0, None, 0);
@@ -149,7 +149,11 @@
                 3 => {
                     let report = nodes[node].recent(3);
                     for other in (0..3).filter(|other| *other != node) {
-                        nodes[other].merge(&format!("n{node}").as_str().into(), lives[node], report.clone());
+                        nodes[other].merge(
+                            &format!("n{node}").as_str().into(),
+                            generations[node],
+                            report.clone(),
+                        );
                     }
                 }
                 4 => {
@@ -161,8 +165,8 @@
                     (stored, stored_total) = (Some(nodes[node].to_carry(0)), total);
                 }
                 _ => {
-                    lives[node] += 1;
-                    nodes[node] = new(node, lives[node]);
+                    generations[node] += 1;
+                    nodes[node] = new(node, generations[node]);
                 }
             }
         }
