--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which model requests are refused because nobody can serve them any more.
+//! Refusal of model requests that no engine can serve before their deadline.
 
 mod support;
 
@@ -9,7 +9,7 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// The choice of an engine with so many tokens to read before.
+/// The choice of an engine that has `tokens_ahead` tokens to prefill before this request.
 fn choice(estimates: &ServiceEstimates, tokens_ahead: u64) -> Choice {
     let reading = Reading::of_rest(0, 1_000);
     Choice {
@@ -31,8 +31,8 @@
     let estimates = support::typical_statistics().estimates();
     let remaining = Duration::from_secs(2);
     let check = |tokens| admission::check(&choice(&estimates, tokens), &estimates, remaining, OBJECTIVE);
-    assert_eq!(check(32_000), None, "a second of reading lies ahead");
-    let unservable = check(96_000).expect("three seconds lie ahead");
+    assert_eq!(check(32_000), None, "one second of prefill is queued");
+    let unservable = check(96_000).expect("three seconds of prefill are queued");
     assert!((2_900..3_100).contains(&unservable.expected.as_millis()), "{unservable:?}");
     assert_eq!(unservable.retry_after, unservable.expected - OBJECTIVE);
 }
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Where a request goes next, without a network: the right to another attempt and a back end for it, or neither.
+//! Selection of the next attempt of a request, without a network: a retry from the budget together with a
+//! back end, or neither.
 
 mod support;
 
@@ -31,7 +32,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A dialect and placement that nobody asks here, and trials that are never granted.
+/// Stubs: a dialect and a placement that these tests don't use, and trials that are never granted.
 struct StubPorts;
 
 impl Dialect for StubPorts {
@@ -64,7 +65,7 @@
     }
 }
 
-/// A node that knows `engines` engines, and may retry as often as `retries` says.
+/// A node with `engines` engines and a budget of `retries` extra retries.
 fn forwarder(engines: usize, retries: f64) -> Forwarder {
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
@@ -105,7 +106,7 @@
     forwarder.retries.left().iter().map(|(_, left)| left).sum()
 }
 
-/// An attempt that runs at one engine, for which another is reserved.
+/// Starts an attempt at one engine and tries to reserve another engine for a failover.
 async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, Missing>) {
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(forwarder, call).await.expect("an engine");
@@ -121,7 +122,7 @@
     assert_eq!(retries_left(&forwarder), 0.0);
 }
 
-/// Guards against: retries are spent while no engine is there to take them.
+/// Guards against: retries are spent although no engine is available for them.
 #[tokio::test(start_paused = true)]
 async fn the_retry_is_returned_when_there_is_no_other_engine() {
     let (forwarder, call) = (forwarder(1, 1.0), call());
@@ -141,7 +142,8 @@
     assert_eq!(attempts.tried.len(), 1);
 }
 
-/// Guards against: a caller is cut since the engine that was to take its stream over refused it, though the first one is well.
+/// Guards against: a caller's stream is aborted because the engine that should take it over refused it,
+/// although the first engine is healthy.
 #[tokio::test(start_paused = true)]
 async fn a_request_returns_to_the_silent_engine_when_the_other_refuses() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
@@ -153,7 +155,10 @@
     let mut returned = 0;
     let mut next = attempts.go_on(&forwarder, &call, &second, refused_attempt()).await;
     while let Some(choice) = next {
-        assert_eq!(choice.backend, first.backend, "no third engine, and not the one that refused");
+        assert_eq!(
+            choice.backend, first.backend,
+            "there is no third engine, and the one that refused is not retried"
+        );
         returned += 1;
         next = attempts.go_on(&forwarder, &call, &choice, refused_attempt()).await;
     }
@@ -161,7 +166,7 @@
     assert_eq!(attempts.tried.len(), 2);
 }
 
-/// An engine that broke off is not asked again: only silence says nothing of it.
+/// An engine that failed the attempt is not retried. Only silence is no evidence of a failure.
 #[tokio::test(start_paused = true)]
 async fn a_request_does_not_return_to_an_engine_that_failed() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
--- a/crates/beamwall-gateway/tests/back_end_restart.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -1,5 +1,5 @@
-//! What is known of a back end belongs to one of its lives: it ends with it, and what is still told of it afterwards does not
-//! count for the next.
+//! Observations of a back end belong to one generation of it: they are dropped when its process restarts, and
+//! late reports about the earlier process do not count for the new one.
 
 mod support;
 
@@ -24,7 +24,7 @@
     Prompt { prompt_tokens: 3_000, output_tokens: 10, parts: vec![part(1), part(2), part(3)] }
 }
 
-/// The only candidate, as the node that places sees it.
+/// The only candidate, as the placement node sees it.
 fn candidate(knowledge: &Knowledge, directory: &Directory) -> Candidate {
     let search = Search {
         service: &"pool".into(),
@@ -40,7 +40,7 @@
     candidates.remove(0)
 }
 
-/// Lets a node know all that can be known of a life.
+/// Records every kind of observation about a back end.
 fn record_all(knowledge: &Knowledge, id: &BackendId, now: Instant) {
     knowledge.health.note_unreachable(id, now);
     knowledge.prefixes.note_read(id, &prompt(), now);
@@ -53,7 +53,7 @@
     knowledge.models.refresh(now);
 }
 
-/// What a peer tells that still knows the life.
+/// Merges a load report from a peer that still lists the back end.
 fn report_loads(knowledge: &Knowledge, id: &BackendId) {
     let load = OpenLoad { requests: 7, prompt_tokens: 9_000 };
     knowledge.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
@@ -69,8 +69,9 @@
     record_all(&knowledge, &backend_started_at(1).id, Instant::now());
     let before = candidate(&knowledge, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
-    assert_eq!(before.load.requests, 8, "seven were told, one is placed and not told yet");
-    // Its shared parts are assumed kept either way; the request's own part only by the life that read it.
+    assert_eq!(before.load.requests, 8, "seven were reported, one is placed and not reported yet");
+    // The shared parts are assumed cached in either case; the request's own part only at the process that
+    // prefilled it.
     assert_eq!(before.reading.expect("a prompt").tokens, 0);
 
     let changes = vec![DirectoryChange::Changed(backend_started_at(2))];
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end, against what an obviously right chooser would want.
+//! The choice of a back end, and the views of load, health and cached prefixes that it is based on.
 
 mod support;
 
@@ -32,7 +32,7 @@
     Reading::of_rest(0, tokens)
 }
 
-/// Runs with what is expected of the engines that the tests know.
+/// Runs a function with the expectation for the engines of the test support.
 fn with_expectation<T>(run: impl FnOnce(&Expectation<'_>) -> T) -> T {
     let estimates = support::typical_statistics().estimates();
     run(&Expectation { estimates: &estimates, pause_objective_ms: Some(100) })
@@ -74,7 +74,7 @@
 fn a_normal_failure_share_does_not_raise_the_cost() {
     let normal =
         Candidate { health: HealthView { failure_share: 0.2, unreachable: false }, ..candidate("usual") };
-    assert!((cost_ms(&normal) - cost_ms(&candidate("well"))).abs() < 1e-9);
+    assert!((cost_ms(&normal) - cost_ms(&candidate("healthy"))).abs() < 1e-9);
 }
 
 #[test]
@@ -98,7 +98,7 @@
             .collect::<arbtest::arbitrary::Result<Vec<_>>>()?;
         let (best, cost) = choose(&candidates).expect("a candidate");
         assert!(candidates.iter().all(|other| cost_ms(other) >= cost));
-        // Less work at the best never makes it worse.
+        // Less work at the chosen back end never raises its cost.
         let mut idle = best.clone();
         idle.load = OpenLoad::default();
         assert!(cost_ms(&idle) <= cost);
@@ -106,7 +106,7 @@
     });
 }
 
-/// An engine that has quietly turned slow answers, so nothing fails.
+/// An engine that has become slow still responds, so no failure is recorded.
 #[test]
 fn a_slow_engine_is_avoided_until_the_others_are_busier() {
     let slow = Candidate { slowness: 5.0, ..candidate("slow") };
@@ -116,7 +116,7 @@
     assert_eq!(chosen(&[slow, busy(20_000)]), "slow");
 }
 
-/// 20 ms and one more for each running request, against 100 ms.
+/// The event gap is 20 ms plus 1 ms for each running request; the objective is 100 ms.
 #[test]
 fn an_engine_with_event_gaps_beyond_the_objective_is_avoided() {
     let load = |requests| OpenLoad { requests, prompt_tokens: 0 };
@@ -130,7 +130,7 @@
     let full =
         Candidate { slots: 10, load: OpenLoad { requests: 14, prompt_tokens: 0 }, ..candidate("full") };
     let nearly = Candidate { load: OpenLoad { requests: 9, prompt_tokens: 0 }, ..full.clone() };
-    // Five streams of a second over ten slots, and the tenth running request.
+    // Five queued streams of one second over ten slots, plus the cost of the tenth running request.
     let wait_ms = cost_ms(&full) - cost_ms(&nearly);
     assert!((480.0..540.0).contains(&wait_ms), "{wait_ms}");
 }
@@ -176,15 +176,15 @@
         &Reporter::Node("n1".into()),
         [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 7 })].into(),
     );
-    // 30% of the newest number and 70% of the one before.
+    // 30% of the newest value and 70% of the previous one.
     assert_eq!(book.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
     book.forget_peer(&Reporter::Node("n1".into()));
     assert_eq!(book.total(&engine), OpenLoad::default());
     assert!(book.own().is_empty());
 }
 
-/// On a quiet day of a large deployment the engines that kept a prompt were passed over because a telling a
-/// second old said that they read another one.
+/// Guards against: in a large deployment under low load, engines with a cached prompt are avoided because a
+/// report that is one second old says that they are prefilling another one.
 #[test]
 fn reported_prompt_tokens_are_averaged_and_decay_without_reports() {
     let book = LoadBook::default();
@@ -215,8 +215,9 @@
     assert_eq!(book.sum_of_nodes()[&engine].requests, 3);
 }
 
-/// On a quiet day of a large deployment a third of the chats were given up on: a node has few streams there,
-/// and an engine from which none is due says nothing by its silence.
+/// Guards against: in a large deployment under low load, a third of the chats are abandoned as silent. A node
+/// has few streams there, and the silence of an engine is no evidence if no stream of the node is waiting for
+/// its events.
 #[test]
 fn an_engine_answers_only_requests_whose_first_event_arrived() {
     let book = Arc::new(LoadBook::default());
@@ -261,7 +262,7 @@
         assert_eq!(home(&one, &engines), home(&other, &reversed));
         assert_eq!(shared_tokens(&one), 200);
     }
-    assert_eq!(home(&prompt(&[1]), &engines), None, "nothing is shared");
+    assert_eq!(home(&prompt(&[1]), &engines), None, "the prompt has no shared part");
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/cut_zones.rs
+++ b/crates/beamwall-gateway/tests/cut_zones.rs
@@ -1,4 +1,4 @@
-//! Which zones are taken for cut off.
+//! Detection of zones that are cut off from this node.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -39,16 +39,16 @@
     let (cut, health, reports) = (CutZones::default(), HealthBook::default(), UnreachableReports::default());
     let (directory, now) = (directory(), Instant::now());
     let update = |silent: &[&str], now| cut.update(&zones(silent), &directory, &health, &reports, now);
-    assert!(update(&["east"], now).is_empty(), "its nodes alone may be down");
+    assert!(update(&["east"], now).is_empty(), "perhaps only its nodes are down");
     health.note_unreachable(&"w0".into(), now);
-    assert!(update(&["east"], now).is_empty(), "a crashed engine elsewhere says nothing of it");
+    assert!(update(&["east"], now).is_empty(), "a crashed engine in another zone is no evidence");
     health.note_unreachable(&"e0".into(), now);
     assert!(update(&[], now).is_empty(), "a single engine may have crashed");
     assert_eq!(update(&["east"], now), [ZoneName::new("east")]);
     assert!(cut.contains(&"east".into()) && !cut.contains(&"west".into()));
-    // The engine is not asked any more, so nothing new is heard of it; the zone's silence decides.
+    // The engine gets no more requests, so there is no new evidence of it; the zone's silence decides.
     let later = now + Duration::from_secs(3);
-    assert!(update(&["east"], later).is_empty(), "it is told once");
+    assert!(update(&["east"], later).is_empty(), "the zone is reported only once");
     assert!(cut.contains(&"east".into()));
     update(&[], later);
     assert!(!cut.contains(&"east".into()));
--- a/crates/beamwall-gateway/tests/demand.rs
+++ b/crates/beamwall-gateway/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Demand, from arrivals alone.
+//! Demand computed from request arrivals alone.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// Notes `count` requests a period for `periods` periods.
+/// Records `count` requests per period for `periods` periods.
 fn record_arrivals(book: &DemandBook, count: usize, periods: usize) -> Workload {
     let mut work = Workload::default();
     for _ in 0..periods {
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -1,7 +1,8 @@
-//! The choice by what was learnt, against a choice that knows the engines' truth.
+//! Differential test of the choice by learnt estimates against an oracle that knows the engines' actual
+//! speed.
 //!
-//! Random prompts arrive at engines that read them one after another. For each, the engine chosen by what was learnt
-//! from noisy observations is compared with the one that would truly begin first.
+//! Random prompts arrive at engines that prefill them one after another. For each prompt, the engine chosen
+//! by estimates from noisy observations is compared with the one that would actually respond first.
 
 mod support;
 
@@ -11,18 +12,18 @@
 use beamwall_gateway::load::OpenLoad;
 use beamwall_seeds::on_seeds;
 
-/// Speeds of engines, as factors of those that the tests know.
+/// Engine speeds, relative to the engines of the test support.
 const SPEED_FACTORS: [f64; 4] = [0.2, 0.6, 1.5, 5.0];
-/// Most that requests may begin later than at the best engines, in the mean over one run of arrivals.
+/// Largest excess of the total start delay over that of the best engines, in one run of arrivals.
 const MAX_EXCESS: f64 = 0.05;
 const REQUESTS: usize = 60;
 
-/// What requests truly take at engines `factor` times as fast.
+/// Actual prefill time at engines that are `factor` times as fast.
 fn prefill_ms(reading: Reading, factor: f64) -> f64 {
     support::prefill_ms(reading) / factor
 }
 
-/// What 200 noisy requests tell of such engines.
+/// Estimates learnt from 200 noisy observations of such engines.
 fn learnt_estimates(factor: f64) -> ServiceEstimates {
     let mut statistics = ServiceStatistics::default();
     let mut known = statistics.estimates();
@@ -37,7 +38,7 @@
         };
         let ahead_ms = prefill_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
         let actual_ms = 5.0 + prefill_ms(of.reading, factor) + ahead_ms;
-        // Up to a tenth off, and one in twenty four times as long.
+        // Up to 10% of noise, and every twentieth request takes four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
         statistics.note_first_event(of, actual_ms * noise * outlier, &known);
@@ -46,10 +47,10 @@
     statistics.estimates()
 }
 
-/// Engines that read one prompt after another.
+/// Engines that prefill one prompt after another.
 struct Engines {
     free_at_ms: Vec<f64>,
-    /// Beginning that each engine keeps, by the number of the session.
+    /// Sessions whose prompt prefix each engine has cached.
     cached_sessions: Vec<Vec<u64>>,
     factor: f64,
 }
@@ -64,7 +65,7 @@
         Reading::of_rest(cached, tokens - cached)
     }
 
-    /// Time from now until the engine would begin to answer.
+    /// Time from now until the engine would start to respond.
     fn start_delay_ms(&self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
         let wait_ms = (self.free_at_ms[engine] - now_ms).max(0.0);
         wait_ms + prefill_ms(self.reading(engine, session, tokens), self.factor)
@@ -77,7 +78,7 @@
         delay_ms
     }
 
-    /// The engine that the learnt model chooses.
+    /// The engine chosen by the learnt estimates.
     fn choose(&self, estimates: &ServiceEstimates, session: u64, tokens: u64, now_ms: f64) -> usize {
         let speed = estimates.tokens_per_ms().expect("known");
         let candidate = |engine: usize| Candidate {
@@ -98,7 +99,7 @@
         chosen.backend.as_str().parse().expect("a number")
     }
 
-    /// Time until the best engine would begin.
+    /// Time until the best engine would start to respond.
     fn earliest_start_ms(&self, session: u64, tokens: u64, now_ms: f64) -> f64 {
         let delay_ms =
             (0..self.free_at_ms.len()).map(|engine| self.start_delay_ms(engine, session, tokens, now_ms));
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -1,4 +1,5 @@
-//! The directory follows a store's watch and peers' snapshots: nothing is missed, nothing goes back.
+//! The directory applies results of the store watch and snapshots of peers without missing or reverting a
+//! change.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +37,7 @@
 #[test]
 fn a_change_after_an_empty_watch_result_is_applied() {
     let mut directory = listed(46, vec![backend(1, false)]);
-    // Other kinds of object changed meanwhile: the wait ended without changes at a higher revision.
+    // Objects of other kinds changed meanwhile, so the watch returned no changes at a higher revision.
     directory.apply(46, changes(49, Vec::new()), Vanishing::Gone);
     assert!(directory.apply(
         49,
@@ -63,7 +64,7 @@
     assert!(directory.backends().all(|known| known.draining));
 }
 
-/// One true history; a watch that follows it in random steps, and snapshots of random moments.
+/// Applies a random history through watch results of random length and snapshots at random revisions.
 #[test]
 fn any_mix_of_watch_results_and_snapshots_converges_to_the_history() {
     on_seeds(2_000, |random| {
@@ -83,7 +84,7 @@
             }
             let known: Vec<Backend> = directory.backends().cloned().collect();
             assert_eq!(known, snapshot_at(&history, directory.revision()).backends);
-            // Whatever has lapsed, nothing that is listed as leaving is used.
+            // Whichever entries have lapsed, no back end listed as draining is used.
             let service = "model".into();
             let leaving = |used: &Backend| known.iter().any(|one| one.id == used.id && one.draining);
             assert!(!directory.usable(&service).any(leaving));
@@ -93,7 +94,7 @@
     });
 }
 
-/// Each entry is the change of one revision; `None` is a change of something else.
+/// Each entry is the change of one revision; `None` is a change of an object of another kind.
 type History = Vec<Option<DirectoryChange>>;
 
 fn draw_history(random: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<History> {
@@ -129,7 +130,8 @@
     Ok(if random.arbitrary()? { Vanishing::Gone } else { Vanishing::MayHaveLapsed })
 }
 
-/// Back ends can't renew their entries while the store is away; they are listed again soon after its return.
+/// Back ends can't renew their entries while the store is unavailable; they are listed again soon after its
+/// return.
 #[test]
 fn entries_that_lapsed_are_used_until_they_are_listed_again_or_dropped() {
     let service = "model".into();
@@ -138,7 +140,7 @@
     let all_gone = changes(20, vec![gone(1), gone(2), gone(3)]);
     assert!(directory.apply(10, all_gone, Vanishing::MayHaveLapsed));
     assert_eq!(directory.backends().count(), 0, "peers are sent only listed back ends");
-    assert_eq!(directory.usable(&service).count(), 2, "one had said that it leaves");
+    assert_eq!(directory.usable(&service).count(), 2, "one back end was draining");
     assert!(directory.get(&"b1".into()).is_some());
     let listed_again = changes(21, vec![DirectoryChange::Changed(backend(1, false))]);
     assert!(directory.apply(20, listed_again, Vanishing::MayHaveLapsed));
@@ -155,7 +157,7 @@
     assert!(directory.get(&"b1".into()).is_none());
 }
 
-/// A peer that holds any revision of the history gets what leads it to the newest, or nothing at all.
+/// A peer at any revision of the history gets either the changes up to the newest one or none at all.
 #[test]
 fn a_peer_that_applies_changes_converges_to_the_same_list() {
     let mut received = 0;
@@ -203,7 +205,7 @@
     assert_eq!(directory.changes_since(10_000), None);
 }
 
-/// One life of the back end `b1`, at an address of its own.
+/// The back end `b1` as started at `born_ms`, with a distinct address.
 fn backend_started_at(born_ms: u64) -> Backend {
     let instance = "b1".into();
     let address = ([127, 0, 0, 2], 9_000 + born_ms as u16).into();
@@ -225,7 +227,7 @@
     let changed = |born_ms| vec![DirectoryChange::Changed(backend_started_at(born_ms))];
     assert!(directory.apply(10, changes(11, changed(2)), Vanishing::Gone));
     assert_eq!(usable_ids(&directory), [backend_started_at(2).id]);
-    assert!(directory.get(&backend_started_at(1).id).is_none(), "nothing is sent to the life that has ended");
+    assert!(directory.get(&backend_started_at(1).id).is_none(), "the ended process gets no requests");
     assert_eq!(
         directory.get(&backend_started_at(2).id).map(|backend| backend.address),
         Some(backend_started_at(2).address)
@@ -238,7 +240,7 @@
     let mut watched = listed(10, vec![backend_started_at(1)]);
     assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), Vanishing::Gone));
     assert_eq!(usable_ids(&watched), [backend_started_at(2).id]);
-    // Whoever lists the earlier life's last entry goes by what it knows.
+    // A list with the last entry of the earlier process does not replace the newer one.
     assert!(
         watched.replace(
             DirectorySnapshot { revision: 13, backends: vec![backend_started_at(1)] },
@@ -283,7 +285,7 @@
     assert_eq!(usable(&directory), ["b1".into()]);
     assert_eq!((directory.revision(), directory.digest()), (0, 0), "peers are sent complete lists only");
     assert!(directory.snapshot().backends.is_empty());
-    // The first was gone by the time that the whole was read.
+    // The first back end was gone by the time the complete list was read.
     let complete = DirectorySnapshot { revision: 7, backends: vec![backend(3, false)] };
     assert!(directory.replace(complete, Vanishing::Gone));
     assert_eq!(usable(&directory), ["b3".into()]);
@@ -291,7 +293,8 @@
     assert_eq!(usable(&directory), ["b3".into()]);
 }
 
-/// A peer that holds nothing is told all, whatever was used here before the whole was known.
+/// A peer with an empty list receives everything, whichever pages were used here before the list was
+/// complete.
 #[test]
 fn peers_receive_the_complete_list_after_its_pages_were_used() {
     let mut directory = Directory::default();
@@ -306,7 +309,7 @@
     assert_eq!(peer.digest(), directory.digest());
 }
 
-/// What a peer tells as changes to one that held nothing is the whole list, too.
+/// Changes that a peer sends to a node with an empty list also form the complete list.
 #[test]
 fn changes_from_revision_zero_replace_the_pages_read_so_far() {
     let mut directory = Directory::default();
@@ -315,32 +318,38 @@
     assert_eq!(directory.usable(&"model".into()).count(), 0);
 }
 
-/// Guards against back ends that stay listed for ever: what a peer tells leads on from the revision that it was asked for, and
-/// leaves out what came and went since.
+/// Guards against: back ends stay listed forever. Changes sent by a peer start at the requested revision and
+/// omit back ends that were added and removed since.
 #[test]
 fn changes_sent_to_a_list_that_has_advanced_leave_no_stale_entries() {
     let mut peer = listed(10, vec![backend(1, false)]);
-    // It reads the whole list; in between a back end came and went, of which it knows nothing.
+    // The peer reads the whole list and misses a back end that was added and removed in between.
     peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, Vanishing::Gone);
     let mut own = listed(10, vec![backend(1, false)]);
     let received = peer.changes_since(own.revision()).expect("known");
     let came = DirectoryChange::Changed(backend(2, false));
     assert!(own.apply(10, changes(15, vec![came]), Vanishing::Gone));
-    assert!(!own.apply_told(10, received, Vanishing::Gone), "it leaves out that the other one went");
-    // Asked again from where it stands, the peer knows no changes that lead on from there.
+    assert!(
+        !own.apply_told(10, received, Vanishing::Gone),
+        "the changes omit the removal of the other back end"
+    );
+    // Asked again for changes from the current revision, the peer has none.
     assert_eq!(peer.changes_since(own.revision()), None);
     assert!(own.replace(peer.snapshot(), Vanishing::Gone));
     assert_eq!(own.snapshot(), peer.snapshot());
 }
 
-/// Guards against a list that is wrong at the store's newest revision and therefore never replaced.
+/// Guards against: a list that is wrong at the store's newest revision is never replaced.
 #[test]
 fn a_read_of_the_same_revision_replaces_a_list_that_differs() {
     let mut directory = listed(10, vec![backend(1, false)]);
-    // A watch told a later revision without the change that led to it.
+    // A watch result had a later revision without the change that led to it.
     directory.apply(10, changes(20, Vec::new()), Vanishing::Gone);
     let read = DirectorySnapshot { revision: 20, backends: vec![backend(2, false)] };
-    assert!(!directory.clone().replace(read.clone(), Vanishing::Gone), "what peers tell is newer or nothing");
+    assert!(
+        !directory.clone().replace(read.clone(), Vanishing::Gone),
+        "a snapshot from a peer is applied only if it is newer"
+    );
     assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Changed);
     assert_eq!(directory.snapshot(), read);
     assert_eq!(directory.changes_since(10), None, "the changes that led to it are not sent to peers");
--- a/crates/beamwall-gateway/tests/directory_staleness.rs
+++ b/crates/beamwall-gateway/tests/directory_staleness.rs
@@ -1,4 +1,5 @@
-//! What speaks against a list of back ends leads to a reading of it: soon, by few nodes, and at longer pauses where it finds nothing.
+//! Evidence against the list of back ends triggers a read of it: soon, by few nodes, and with backoff if the
+//! reads find no change.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,9 +9,9 @@
 use tokio::time::Instant;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Gateways of one large zone.
+/// Number of gateways in one large zone.
 const NODES: u16 = 300;
-/// Those of them that watch the store for the others.
+/// Number of gateways that watch the store on behalf of the zone.
 const WATCHERS: u16 = 2;
 
 fn backend(number: u8) -> Backend {
@@ -62,14 +63,11 @@
     assert_eq!(doubts.reason(&listed(6, &[2]), true, now + SECOND * 4), None);
     assert_eq!(doubts.reason(&directory, true, now + SECOND * 60), None);
     doubts.note_unreached(&"b1".into(), now + SECOND * 60);
-    assert_eq!(
-        doubts.reason(&directory, true, now + SECOND * 60),
-        None,
-        "the tries of before are another matter"
-    );
+    assert_eq!(doubts.reason(&directory, true, now + SECOND * 60), None, "earlier attempts no longer count");
 }
 
-/// Readings that find nothing new come at longer and longer pauses: a machine that vanished stays listed for a while.
+/// Reads that find no change are repeated at growing intervals, since a machine that vanished stays listed
+/// for a while.
 #[test]
 fn reads_that_find_no_change_become_rare() {
     let (doubts, directory, start) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
@@ -85,7 +83,7 @@
     assert!((8..=16).contains(&read_count), "{read_count} reads in ten minutes");
 }
 
-/// The load of one node that differs in a zone of many: it reads, and so do those that watch for the zone; nobody else does.
+/// In a large zone the list of one node differs. Only this node and the watchers of the zone read the list.
 #[test]
 fn only_watchers_and_the_node_that_differs_read_the_list() {
     let (right, wrong, now) = (listed(5, &[1, 2]), listed(5, &[1]), Instant::now());
@@ -95,7 +93,11 @@
         for other in (0..NODES).filter(|other| *other != node) {
             doubts.note_peer(peer(other), 5, list_of(other).digest(), now);
         }
-        assert_eq!(doubts.reason(list_of(node), node < WATCHERS, now), None, "news may be under way");
+        assert_eq!(
+            doubts.reason(list_of(node), node < WATCHERS, now),
+            None,
+            "changes may still be in transit"
+        );
         doubts.reason(list_of(node), node < WATCHERS, now + SECOND).is_some()
     };
     let reading: Vec<u16> = (0..NODES).filter(|node| reads(*node)).collect();
@@ -122,7 +124,8 @@
     assert_eq!(doubts.reason(&directory, true, now + SECOND * 9), None);
 }
 
-/// Guards against a leaving back end, which refuses connections as it ends, being taken for a fault of the list.
+/// Guards against: a draining back end, which refuses connections as it terminates, is taken for a fault of
+/// the list.
 #[test]
 fn a_draining_back_end_that_refuses_connections_is_no_evidence() {
     let (doubts, mut directory, now) = (ListDoubts::default(), listed(5, &[1]), Instant::now());
--- a/crates/beamwall-gateway/tests/event_stream.rs
+++ b/crates/beamwall-gateway/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Event streams split into whole events, whatever the pieces in which their bytes come.
+//! Splitting of event streams into whole events, however their bytes are chunked.
 
 use beamwall_gateway::event_stream::EventSplitter;
 use beamwall_seeds::on_seeds;
--- a/crates/beamwall-gateway/tests/fleet_clock.rs
+++ b/crates/beamwall-gateway/tests/fleet_clock.rs
@@ -1,4 +1,4 @@
-//! The time of day that most nodes agree on: single clocks that are off or step don't move it.
+//! The time of day agreed on by most nodes, which single clocks that are off or step do not affect.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,10 +6,10 @@
 use beamwall_gateway::usage::UsageLedger;
 use tokio::time::Instant;
 
-/// True time at the start: three seconds into a window of five.
+/// True time at the start, three seconds into a window of five.
 const START: Duration = Duration::from_secs(1_733_187_603);
 const WINDOW: Duration = Duration::from_secs(5);
-/// By how much the clocks that step are off.
+/// Offset of the clocks that step.
 const STEP: Duration = Duration::from_secs(2);
 
 fn true_time(after: Duration) -> SystemTime {
@@ -21,7 +21,7 @@
     apart < Duration::from_millis(30)
 }
 
-/// Lets a clock hear `peers`, of which the first `off` are off.
+/// Reports the clocks of `peers` peers, of which the first `off` are off by [`STEP`].
 fn report_clocks(clock: &FleetClock, peers: usize, off: usize, after: Duration) {
     for number in 0..peers {
         let reported = if number < off { true_time(after) + STEP } else { true_time(after) };
@@ -55,10 +55,10 @@
     report_clocks(&clock, 9, 0, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(6)).await;
     let local_time = true_time(Duration::from_secs(6)) + STEP;
-    assert_eq!(clock.time(local_time, Instant::now()), local_time, "what was heard long ago does not count");
+    assert_eq!(clock.time(local_time, Instant::now()), local_time, "old readings of peers do not count");
 }
 
-/// The load: 70 nodes, of which 21 have clocks that are 2 s off for six seconds, and 400 requests a second.
+/// Load: 70 nodes, 21 of which have clocks that are 2 s off for six seconds, and 400 requests per second.
 #[tokio::test(start_paused = true)]
 async fn requests_count_in_the_right_window_while_clocks_step() {
     let (nodes, off, seconds) = (70_usize, 21_usize, 12_u64);
@@ -100,5 +100,5 @@
         by_local_clock * 100.0
     );
     assert!(by_fleet < 0.02, "{by_fleet}");
-    assert!(by_local_clock > 0.05, "{by_local_clock}: the median would be needless");
+    assert!(by_local_clock > 0.05, "{by_local_clock}: the median would be unnecessary");
 }
--- a/crates/beamwall-gateway/tests/losses.rs
+++ b/crates/beamwall-gateway/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Lost answers count against requests only where the back end is known to have ended.
+//! Lost responses count against requests only if the back end is known to have terminated.
 
 mod support;
 
@@ -22,7 +22,7 @@
     assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Wait);
     assert_eq!(losses.note(&engine.id, request("b"), now), NextStep::Wait);
     assert_eq!(losses.end(&engine.id), [request("a"), request("b")]);
-    assert_eq!(losses.note(&engine.id, request("c"), now), NextStep::Count, "its end is known");
+    assert_eq!(losses.note(&engine.id, request("c"), now), NextStep::Count, "its termination is known");
     assert_eq!(losses.end(&engine.id), [], "nothing counts twice");
 }
 
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement for all nodes, against the truth of the engines' queues.
+//! Placement on behalf of all nodes, compared with the actual queues of the engines.
 
 mod support;
 
@@ -16,26 +16,26 @@
 use beamwall_seeds::on_seeds;
 use tokio::time::Instant;
 
-/// Requests that an engine works on at once.
+/// Concurrent requests per engine.
 const SLOTS: u32 = 128;
 
 fn directory(engines: usize) -> Directory {
     support::directory(engines, SLOTS)
 }
 
-/// A prompt of one part that no other request has.
+/// A prompt of one part that no other request shares.
 fn unique_prompt(tokens: u32, number: u64) -> Prompt {
     Prompt { prompt_tokens: tokens, output_tokens: 10, parts: vec![PromptPart { id: number, tokens }] }
 }
 
-/// What a node knows that was told of the engines.
+/// The knowledge of a node that has received the engines' statistics.
 fn knowledge() -> Knowledge {
     let knowledge = Knowledge::default();
     support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     knowledge
 }
 
-/// Time that an engine takes to read a whole prompt.
+/// Time that an engine needs to prefill a whole prompt.
 fn prefill_ms(tokens: u64) -> f64 {
     support::prefill_ms(Reading::of_rest(0, tokens))
 }
@@ -71,8 +71,8 @@
     assert_eq!(queues.left_ms(&engine, now), 0.0);
 }
 
-/// On a large deployment nodes tell their open requests up to a second later; until then the node that places for
-/// all sent one request after another to the engine that looked idle.
+/// Guards against: in a large deployment nodes report their open requests up to a second late, and until then
+/// the placement node sends one request after another to the engine that looks idle.
 #[test]
 fn placed_requests_count_as_open_until_they_are_reported() {
     let queues = ReadingQueues::default();
@@ -82,20 +82,20 @@
     assert_eq!(queues.untold(&engine, now + Duration::from_millis(300)), 2);
     assert_eq!(queues.untold(&engine, now + Duration::from_millis(700)), 1);
     assert_eq!(queues.untold(&"e1".into(), now), 0);
-    // Prompts that take no time to read: only what runs tells the engines apart.
+    // The prompts take no time to prefill, so the engines differ only in their running requests.
     let (directory, knowledge) = (directory(2), knowledge());
     let first = place(&knowledge, &directory, &unique_prompt(1, 1), &[]);
     (0..3).for_each(|_| knowledge.queues.add(&first, 0.0, Instant::now()));
     assert_ne!(place(&knowledge, &directory, &unique_prompt(1, 2), &[]), first);
 }
 
-/// Whatever arrives, the chosen engine is the one that is free first in truth.
+/// Whatever requests arrive, the chosen engine is the one that is actually free first.
 #[test]
 fn the_engine_that_is_free_first_is_chosen() {
     on_seeds(2_000, |random| {
         let engines = random.int_in_range(1..=12_usize)?;
         let (directory, knowledge) = (directory(engines), Knowledge::default());
-        // In this truth the time to begin depends on what is read before alone.
+        // In this simulation the time to first event depends only on the queued prefill work.
         support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
         let mut free_at_ms: HashMap<BackendId, f64> = HashMap::new();
         let start = Instant::now();
@@ -108,7 +108,7 @@
             let chosen = place(&knowledge, &directory, &prompt, &[]);
             let shortest_wait_ms =
                 directory.backends().map(|backend| wait_ms(&backend.id)).fold(f64::MAX, f64::min);
-            // Queues are told in whole tokens and go on while the test runs.
+            // Queues are known in whole tokens and drain while the test runs.
             assert!(
                 wait_ms(&chosen) <= shortest_wait_ms + 1.0,
                 "{} instead of {shortest_wait_ms}",
@@ -155,8 +155,8 @@
     }
 }
 
-/// Counted by tokens alone, one prompt of 20,000 looked as long as two of 10,000, and the next request waited
-/// behind it.
+/// Guards against: counted by tokens alone, one prompt of 20,000 looks as long as two of 10,000, and the next
+/// request waits behind it.
 #[test]
 fn an_engine_with_a_long_prompt_is_free_later_than_one_with_two_short_ones() {
     let (directory, knowledge) = (directory(2), knowledge());
@@ -170,7 +170,8 @@
     }
 }
 
-/// A crashed engine has nothing to read; when it was found out node by node, each sent several requests there.
+/// Guards against: a crashed engine has an empty queue and looks attractive. If each node has to detect the
+/// crash itself, each one sends several requests there.
 #[test]
 fn an_engine_that_two_nodes_could_not_reach_is_avoided_by_all() {
     let (directory, knowledge) = (directory(2), knowledge());
@@ -180,7 +181,11 @@
     let prompt = unique_prompt(500, 1);
     assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed);
     knowledge.reports.note(&"n1".into(), std::slice::from_ref(&crashed), now);
-    assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed, "one node may be cut off itself");
+    assert_eq!(
+        place(&knowledge, &directory, &prompt, &[]),
+        crashed,
+        "the reporting node itself may be partitioned"
+    );
     knowledge.reports.note(&"n2".into(), std::slice::from_ref(&crashed), now);
     assert_eq!(place(&knowledge, &directory, &prompt, &[]), busy);
     assert!(!knowledge.reports.is_confirmed(&crashed, now + Duration::from_secs(1)));
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -1,7 +1,7 @@
-//! Placement of many prompts at many engines: what prompts wait for, by who places them.
+//! Waiting time of prompts placed at many engines, by the way in which nodes share the placement.
 //!
-//! The load: 160 engines that each read one prompt after another, busy 45 in 100 of their time, and prompts of three kinds
-//! of which the longest takes some 280 ms to read. Time is simulated.
+//! Load: 160 engines that each prefill one prompt after another and are busy 45% of the time, and prompts of
+//! three lengths, the longest of which takes about 280 ms to prefill. Time is simulated.
 
 mod support;
 
@@ -19,12 +19,12 @@
 use tokio::time::Instant;
 
 const ENGINES: usize = 160;
-/// Requests that an engine works on at once.
+/// Concurrent requests per engine.
 const SLOTS: u32 = 48;
 const PROMPTS: usize = 3_000;
-/// Part of their time for which engines read.
+/// Share of their time that engines spend in prefill.
 const BUSY: f64 = 0.45;
-/// Tokens of the prompts.
+/// Prompt lengths in tokens.
 const LENGTHS: [u32; 3] = [9_000, 2_400, 700];
 
 fn directory(engines: usize) -> Directory {
@@ -68,12 +68,12 @@
     chosen
 }
 
-/// Who places a prompt, and in which group.
+/// Determines which node places a prompt, and in which group of engines.
 trait PlacementScheme {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId;
 }
 
-/// Several nodes that each place a part of the prompts at all engines.
+/// Several nodes that each place a share of the prompts at all engines, without coordination.
 struct Uncoordinated(Vec<Knowledge>);
 
 impl PlacementScheme for Uncoordinated {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A node for each group of engines.
+/// One placement node for each group of engines.
 struct Grouped(Vec<Knowledge>);
 
 impl PlacementScheme for Grouped {
@@ -93,7 +93,7 @@
     }
 }
 
-/// The wait of 90 in 100 prompts before their engine reads them, in milliseconds.
+/// The 90th percentile of the time that prompts wait for their engine's prefill, in milliseconds.
 async fn wait_p90_ms(scheme: impl PlacementScheme) -> f64 {
     let directory = directory(ENGINES);
     let mut random = SmallRng::seed_from_u64(7);
@@ -122,10 +122,10 @@
     let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| knowledge()).collect())).await;
     let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| knowledge()).collect())).await;
     println!(
-        "90 in 100 prompts wait {grouped_ms:.0} ms at most, {uncoordinated_ms:.0} ms where five nodes place blindly"
+        "p90 of the wait: {grouped_ms:.0} ms in groups, {uncoordinated_ms:.0} ms with five uncoordinated nodes"
     );
     assert!(grouped_ms < 20.0, "{grouped_ms}");
-    assert!(uncoordinated_ms > 100.0, "{uncoordinated_ms}: groups would be needless");
+    assert!(uncoordinated_ms > 100.0, "{uncoordinated_ms}: groups would be unnecessary");
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What one node does about requests under which back ends end.
+//! Quarantine, at one node, of requests that coincide with back end terminations.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use beamwall_model::BackendId;
 use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineBook};
 
-/// Grants no trial.
+/// A trial port that never grants a trial.
 struct NoTrials;
 
 #[async_trait]
@@ -64,7 +64,7 @@
     let (quarantine, directory) = quarantine();
     let names = ["i-1", "i-2", "i-3", "i-4"];
     update_directory(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
-    // It announces its leaving before the answer is lost, or before it is known to have ended.
+    // An engine starts draining before its response is lost, or before its termination is known.
     update_directory(&directory, 2, names.iter().map(|name| backend(name, *name < "i-3")).collect());
     for name in names {
         quarantine.note_lost(request(), &BackendId::new(name));
--- a/crates/beamwall-gateway/tests/quota_fleet.rs
+++ b/crates/beamwall-gateway/tests/quota_fleet.rs
@@ -1,8 +1,9 @@
-//! Quotas over a fleet of many gateways: what is refused to tenants within their limit, and what passes beyond it.
+//! Quotas over a fleet of many gateways: no refusals within a tenant's limit, and a bound on the excess
+//! beyond it.
 //!
-//! The load that these tests answer: a tenant's requests arrive at any gateway, long prompts and short ones mixed, and
-//! each gateway is a small part of the fleet. Gateways tell their zone once a second, relays tell other zones once
-//! a second; so others know of work one to two seconds later.
+//! Load: a tenant's requests arrive at any gateway, with long and short prompts mixed, and each gateway is a
+//! small part of the fleet. Gateways report to their zone once a second and relays report to other zones once
+//! a second, so other nodes learn of admitted work one to two seconds later.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,23 +16,23 @@
 use beamwall_seeds::on_seeds;
 use tokio::time::Instant;
 
-/// Work a second that a tenant may let pass.
+/// Work per second that the tenant's quota admits.
 const RATE: f64 = 60_000.0;
-/// Work that it may save up.
+/// Bucket capacity of the tenant.
 const BURST: f64 = 60_000.0;
-/// A long prompt.
+/// Work of a long prompt.
 const LONG: f64 = 9_000.0;
-/// A short one.
+/// Work of a short prompt.
 const SHORT: f64 = 200.0;
-/// Window in which what passes is bounded.
+/// Window over which the admitted work is bounded.
 const WINDOW: Duration = Duration::from_secs(8);
-/// What is tolerated beyond a quota in one window, as a share of it.
+/// Tolerated excess over a quota in one window, as a share of the quota.
 const OVERAGE: f64 = 0.1;
-/// What is tolerated beside, in work.
+/// Additionally tolerated work per window.
 const SLACK: f64 = 72_000.0;
-/// Time between two steps of the fleet.
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(100);
-/// Steps between two tellings of a node or of a relay.
+/// Steps between two reports of a node or of a relay.
 const STEPS_PER_REPORT: usize = 10;
 
 fn tenant() -> Tenant {
@@ -46,30 +47,30 @@
     }
 }
 
-/// A book that uses what gateways use of what is tolerated.
+/// A limiter that uses the same shares of the tolerance as a gateway does.
 fn new_limiter(nodes: usize) -> QuotaLimiter {
     let tolerance =
         Tolerance { sustained: OVERAGE * 0.05, in_window: OVERAGE, at_start: 0.0, window: WINDOW };
     QuotaLimiter::new(SLACK / 2.0, nodes).with_tolerance(tolerance)
 }
 
-/// Gateways in zones, with what they told and did not yet.
+/// Simulated gateways in several zones, with their pending reports.
 struct Fleet {
     zones: usize,
     limiters: Vec<QuotaLimiter>,
     admitted: Vec<(Instant, f64)>,
-    /// Nodes that let work pass since they told their zone.
+    /// Whether each node has admitted work since its last report.
     unreported: Vec<bool>,
-    /// Nodes that tell their zone in the next step.
+    /// Nodes that report to their zone in the next step.
     urgent: Vec<usize>,
-    /// Zones that are cut off, and so are told nothing and tell nothing.
+    /// A partitioned zone, which neither sends nor receives reports.
     cut_off_zone: Option<usize>,
     now: Instant,
     step: usize,
 }
 
 impl Fleet {
-    /// Gateways with these books, none of which has told anything.
+    /// Gateways with these limiters, none of which has reported yet.
     fn with_limiters(limiters: Vec<QuotaLimiter>, zones: usize, now: Instant) -> Self {
         let unreported = vec![true; limiters.len()];
         Self {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// `nodes` gateways in `zones` zones that have known their tenant for long.
+    /// `nodes` gateways in `zones` zones whose buckets are full.
     fn with_full_buckets(nodes: usize, zones: usize) -> Self {
         let now = Instant::now();
         let direct = nodes / zones;
@@ -110,7 +111,7 @@
         (zone..self.limiters.len()).step_by(self.zones)
     }
 
-    /// Sends work to a node; whether it passed.
+    /// Sends work to a node and returns whether it was admitted.
     fn send(&mut self, node: usize, amount: f64) -> bool {
         let Ok(charge) = self.limiters[node].charge(&tenant(), amount, self.now) else { return false };
         self.admitted.push((self.now, amount));
@@ -121,7 +122,8 @@
         true
     }
 
-    /// Lets a step pass, in which a tenth of the nodes tell their zones and some relays tell other zones.
+    /// Advances by one step. A tenth of the nodes report to their zones, and every tenth step the relays
+    /// report to other zones.
     fn advance(&mut self) {
         self.now += STEP;
         self.step += 1;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Tells a node's zone what it let pass. Nodes that let nothing pass have nothing new to tell.
+    /// Reports a node's usage to its zone. Nodes that admitted nothing have nothing to report.
     fn report_node(&mut self, node: usize) {
         if !std::mem::take(&mut self.unreported[node]) {
             return;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Tells all nodes among whom quotas are divided.
+    /// Updates the quota membership at all nodes.
     fn update_membership(&self) {
         let nodes = self.limiters.len();
         let direct = nodes / self.zones;
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The most that passed in any window.
+    /// The largest amount of work admitted in any window.
     fn max_in_window(&self) -> f64 {
         let in_window = |start: Instant| {
             let window = self.admitted.iter().filter(|(at, _)| *at >= start && *at < start + WINDOW);
@@ -194,13 +196,13 @@
     }
 }
 
-/// What may pass in a window.
+/// Work that may be admitted in one window.
 fn bound() -> f64 {
     (RATE * WINDOW.as_secs_f64() + BURST) * (1.0 + OVERAGE) + SLACK
 }
 
-/// Sends a tenant's work of one step, long prompts and short ones at any node; `owed` is what it has not sent yet. Gives how many
-/// were refused.
+/// Sends a tenant's work of one step, as long and short prompts to random nodes, and returns the number of
+/// refusals. `backlog` is the work that has not been sent yet.
 fn send_step(
     fleet: &mut Fleet,
     rate: f64,
@@ -222,8 +224,8 @@
     random.int_in_range(0..=nodes - 1)
 }
 
-/// A gateway of a fleet of 295 that let a long prompt pass a moment ago refused short ones of the same tenant, although
-/// 743,000 tokens were left: its own part of them is a 295th.
+/// Guards against: in a fleet of 295, a gateway that has just admitted a long prompt refuses short ones of
+/// the same tenant although 743,000 tokens are left, because its own share of them is only one 295th.
 #[test]
 fn a_short_prompt_after_a_long_one_is_admitted_while_most_of_the_quota_is_left() {
     let mut fleet = Fleet::with_full_buckets(295, 5);
@@ -232,7 +234,8 @@
     assert!(fleet.send(17, LONG));
 }
 
-/// A tenant that uses 55 in 100 of its rate, long prompts and short ones at any node, for five seconds.
+/// Counts refusals for a tenant that uses 55% of its rate for five seconds, with long and short prompts at
+/// random nodes.
 fn refused_within_limit(
     nodes: usize,
     zones: usize,
@@ -268,7 +271,8 @@
     });
 }
 
-/// A tenant at half of its rate jumps to one to five times its rate at once: the most in a window, and its limit.
+/// A tenant at half of its rate jumps to one to five times its rate. Returns the largest work in a window and
+/// its bound.
 fn max_after_jump(
     nodes: usize,
     zones: usize,
@@ -297,7 +301,7 @@
     }
 }
 
-/// Holds a jump that was once beyond the bound at 295 gateways.
+/// Replays a seed whose rate jump once exceeded the bound with 295 gateways.
 fn assert_jump_is_within_the_bound(seed: u64) {
     arbtest(|random| {
         let (max_admitted, bound) = max_after_jump(295, 5, random)?;
@@ -307,20 +311,21 @@
     .seed(seed);
 }
 
-/// 666,800 passed in a window of 666,000.
+/// Guards against: 666,800 were admitted in a window with a bound of 666,000.
 #[test]
 fn a_jump_to_five_times_the_rate_stays_within_the_bound() {
     assert_jump_is_within_the_bound(0x1d67_2718_0000_3e9a);
 }
 
-/// Guards against: 669,800 passed in a window of 666,000, since gateways that a tenant's requests rarely reach thought it refilled for
-/// time in which nothing more fitted.
+/// Guards against: 669,800 were admitted in a window with a bound of 666,000, because gateways that rarely
+/// receive the tenant's requests credited refill for time in which the bucket was full.
 #[test]
 fn a_jump_that_reaches_each_gateway_rarely_is_within_the_bound() {
     assert_jump_is_within_the_bound(0xb53c_7888_0000_19a5);
 }
 
-/// Guards against: what others let pass is paid from a rest that came before it, in which the account was full.
+/// Guards against: work admitted by peers is offset by refill from earlier idle time, in which the bucket was
+/// full.
 #[test]
 fn idle_time_does_not_offset_work_that_peers_admit_afterwards() {
     let start = Instant::now();
@@ -333,17 +338,18 @@
     limiter.set_membership(QuotaMembership::full_mesh(2, 2), &[tenant()], full);
     report_peer(0.0, full);
     let after_rest = full + Duration::from_secs(5);
-    // All that was saved up, and what is gained in the second and a half before the telling: longer than a telling takes.
+    // The whole burst, and the refill of the 1.5 s before the report, which is longer than a report takes to
+    // arrive.
     report_peer(BURST + 1.5 * RATE, after_rest);
     assert!(limiter.charge(&tenant(), SHORT, after_rest).is_err(), "the whole burst has been used");
 }
 
-/// While a zone is silent its part of the rate is withheld. Once it is heard again and has told what it let pass, the
-/// rest is the tenant's: the other zones kept it from it for good.
+/// While a zone is silent, its share of the rate is withheld. Guards against: the other zones never release
+/// the rest after the zone has reported its usage again.
 #[test]
 fn quota_withheld_for_a_silent_zone_is_released_once_all_zones_report() {
     let mut fleet = Fleet::with_full_buckets(50, 5);
-    // All that was saved up is used, and the silent zone serves nothing.
+    // The burst is used up, and the silent zone then serves nothing.
     for _ in 0..60 {
         for node in 0..50 {
             fleet.send(node, 2_000.0);
@@ -364,7 +370,7 @@
         fleet.advance();
         fleet.update_membership();
     }
-    // 48,000 were withheld: four seconds of a fifth of the rate.
+    // 48,000 were withheld: four seconds at a fifth of the rate.
     let admitted: f64 = fleet.admitted.iter().map(|(_, amount)| amount).sum();
     let gained = RATE * STEP.as_secs_f64() * fleet.step as f64;
     let remaining = BURST + gained - admitted;
@@ -372,7 +378,7 @@
     assert!(level >= remaining - 10_000.0, "{level} of {remaining} may be admitted now");
 }
 
-/// What passed longer ago than it is kept would be missing in such a window.
+/// In such a window, admitted work older than the history would be missing.
 #[test]
 fn with_windows_longer_than_the_history_nodes_keep_to_their_shares() {
     let start = Instant::now();
@@ -389,14 +395,15 @@
     assert!(!admits_twice(Duration::from_secs(60)));
 }
 
-/// A caller that is refused because others have not been told yet came back at once, and was refused again.
+/// Guards against: a caller refused because peers have not received a report yet retries at once and is
+/// refused again.
 #[test]
 fn retry_after_covers_the_time_until_peers_have_the_report() {
     let nodes = 59;
     let mut now = Instant::now();
     let limiter = new_limiter(nodes);
     limiter.set_membership(QuotaMembership::full_mesh(nodes, nodes), &[tenant()], now);
-    // A tenant that has used all that it may for a while.
+    // The tenant uses its full quota for a while.
     for _ in 0..90 {
         now += STEP;
         while limiter.charge(&tenant(), SHORT, now).is_ok() {
@@ -410,14 +417,14 @@
     assert!(refused.retry_after >= Duration::from_millis(150), "{:?}", refused.retry_after);
 }
 
-/// Steps until gateways that start together hear each other.
+/// Steps until gateways that start together reach each other.
 const STEPS_ISOLATED: usize = 8;
 
-/// Steps after which all gateways hear each other and each has told what passed.
+/// Steps after which all gateways reach each other and each has reported its usage.
 const STEPS_UNTIL_REPORTED: usize = STEPS_ISOLATED + STEPS_PER_REPORT;
 
-/// Requests refused to a tenant that uses 55 in 100 of its rate, after all gateways have started anew and once they have told each
-/// other what passed.
+/// Counts refusals for a tenant that uses 55% of its rate, after all gateways have restarted and exchanged
+/// their first reports.
 fn refused_after_start(
     nodes: usize,
     zones: usize,
@@ -448,8 +455,9 @@
     Ok(refused)
 }
 
-/// Guards against: a tenant within its limit that is refused on and on after a start of all gateways. What is refused before they have
-/// told each other is a target (docs/CAPACITY.md): nobody knows then what passed before the start.
+/// Guards against: a tenant within its limit is refused continuously after a restart of all gateways.
+/// Refusals before the first exchange of reports are covered by a target (docs/CAPACITY.md), since no gateway
+/// knows then how much work was admitted before the restart.
 #[test]
 fn a_tenant_within_its_limit_is_not_refused_once_restarted_gateways_have_exchanged_reports() {
     for (nodes, zones, cases) in [(6, 1, 2_500), (77, 4, 400), (295, 5, 50)] {
--- a/crates/beamwall-gateway/tests/quotas.rs
+++ b/crates/beamwall-gateway/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! One bucket kept by all nodes: bounds, tellings, starts and cuts.
+//! One token bucket replicated at all nodes: bounds, reports, restarts and partitions.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     NodeId::new(format!("n{number}"))
 }
 
-/// A book that has known its tenant for long: the bucket is full.
+/// A limiter whose bucket is full.
 fn full_limiter(membership: QuotaMembership, start: Instant) -> QuotaLimiter {
     let limiter = QuotaLimiter::new(0.0, membership.known);
     limiter.set_membership(membership, &[tenant()], start);
@@ -90,14 +90,14 @@
     assert!(is_admitted(&limiter, 100.0, now));
 }
 
-/// On a day that lost a machine, its successor held everything that the peers had passed in their lives
-/// against its new account and refused for minutes.
+/// Guards against: a node that replaces a lost machine debits all work that its peers have admitted since
+/// their start from its new account, and refuses requests for minutes.
 #[test]
 fn usage_before_the_start_is_not_debited_at_a_new_node() {
     let start = Instant::now();
     let limiter = full_limiter(QuotaMembership::full_mesh(2, 2), start);
     let now = start + Duration::from_secs(10);
-    // An answer to a probe tells no uses; the heartbeat after it does.
+    // A probe response carries no usage; the following heartbeat does.
     limiter.merge_node_usage(&node(1), 1, HashMap::new(), now);
     limiter.merge_node_usage(&node(1), 1, HashMap::from([("alder".into(), 300_000.0)]), now);
     assert!(is_admitted(&limiter, 500.0, now));
@@ -143,12 +143,12 @@
         admitted += if is_admitted(&limiter, 10.0, now) { 10.0 } else { 0.0 };
         limiter.take_report();
     }
-    // Ten seconds at a third, and the burst that was saved up.
+    // Ten seconds at a third of the rate, and the burst.
     assert!((3_000.0..=4_400.0).contains(&admitted), "{admitted}");
 }
 
-/// Any number of nodes, requests of any size at any of them, tellings that take a moment: in every
-/// window what passes stays within rate, burst, slack and one request a node.
+/// With any number of nodes, requests of any size at any node and delayed reports, the admitted work in every
+/// window stays within rate, burst, slack and one request per node.
 #[test]
 fn all_nodes_together_stay_within_the_quota() {
     on_seeds(1_000, |random| {
@@ -185,7 +185,7 @@
     });
 }
 
-/// A large deployment: the nodes of a zone are heard at once, other zones by sums.
+/// A large deployment: nodes of one zone report directly, other zones through summaries.
 fn zoned(zones: usize, nodes_a_zone: usize) -> QuotaMembership {
     let all = zones * nodes_a_zone;
     QuotaMembership { reachable: all, known: all, direct: nodes_a_zone }
@@ -203,13 +203,13 @@
     let report_sum = |relay: usize, generation: u64, total: f64| {
         limiter.merge_zone_usage(&"east".into(), &node(relay), generation, tenant_usage(total), now);
     };
-    // The relays started at different times, so they tell different sums of the same work.
+    // The relays started at different times, so they report different sums for the same work.
     report_sum(1, 1, 5_000.0);
     report_sum(2, 1, 70.0);
     report_sum(1, 1, 5_300.0);
     report_sum(2, 1, 370.0);
     assert!(!is_admitted(&limiter, 701.0, now), "the other zone admitted 300");
-    // One relay starts anew; the other is ahead of what it tells.
+    // One relay restarts; the sums of the other are ahead of it.
     report_sum(1, 2, 0.0);
     report_sum(2, 1, 570.0);
     report_sum(1, 2, 200.0);
@@ -229,8 +229,8 @@
     assert!(is_admitted(&limiter, 200.0, now + Duration::from_millis(1_300)));
 }
 
-/// Zones that learn of each other a second late: whatever arrives where, all together stay within rate, burst
-/// and one request a zone.
+/// Zones receive each other's reports a second late. Whatever requests arrive where, all zones together stay
+/// within rate, burst and one request per zone.
 #[test]
 fn zones_with_delayed_reports_stay_within_the_quota() {
     on_seeds(1_000, |random| {
@@ -274,10 +274,10 @@
 
 const TOLERANCE: Tolerance = Tolerance { sustained: 0.05, in_window: 0.1, at_start: 0.035, window: WINDOW };
 const WINDOW: Duration = Duration::from_secs(8);
-/// What is tolerated in one window, as a share of the quota.
+/// Tolerated excess in one window, as a share of the quota.
 const OVERAGE: f64 = 0.1;
 
-/// Whatever arrives, at nodes that start at any time, no window holds more than the quota and what is tolerated.
+/// Whatever requests arrive and whenever nodes restart, no window exceeds the quota and its tolerance.
 #[test]
 fn no_window_exceeds_the_tolerance_whichever_nodes_restart() {
     on_seeds(10, |random| {
@@ -304,7 +304,7 @@
                 let amount = f64::from(random.int_in_range(1..=60_u32)?);
                 while limiter.charge(&tenant(), amount, now).is_ok() {
                     admitted.push((now, amount));
-                    // Each is told at once, so that what is tolerated alone is used beyond the quota.
+                    // Reports are delivered at once, so that the excess comes from the tolerance alone.
                     let reports = limiter.take_report();
                     let peers = limiters.iter().enumerate().filter(|(other, _)| *other != position);
                     for (_, peer) in peers {
@@ -330,13 +330,14 @@
     let start = Instant::now();
     let limiter = QuotaLimiter::new(0.0, 7).with_tolerance(TOLERANCE);
     limiter.set_membership(QuotaMembership::full_mesh(7, 7), &[tenant()], start);
-    // 3.5 in 100 of 9,000, a seventh of it.
+    // A seventh of 3.5% of 9,000.
     assert!(!is_admitted(&limiter, 50.0, start));
     assert!(is_admitted(&limiter, 44.0, start));
 }
 
-/// On every day with a cut zone, both sides refused nearly everything for seconds after it: each took off all that
-/// the other had passed, although it had not been credited with the other's part of the rate.
+/// Guards against: after a zone was partitioned, both sides refuse nearly everything for seconds, because
+/// each debits all work admitted by the other although it was not credited with the other's share of the
+/// rate.
 #[test]
 fn after_a_partition_both_sides_continue_with_the_remaining_quota() {
     let start = Instant::now();
@@ -356,7 +357,7 @@
         }
     };
     exchange_reports(now);
-    // Five seconds apart, each passing all that it may.
+    // Partitioned for five seconds, with each side admitting as much as it may.
     sides.iter().for_each(|side| side.set_membership(QuotaMembership::full_mesh(1, 2), &[tenant()], now));
     for _ in 0..50 {
         now += Duration::from_millis(100);
@@ -368,7 +369,7 @@
     }
     sides.iter().for_each(|side| side.set_membership(QuotaMembership::full_mesh(2, 2), &[tenant()], now));
     exchange_reports(now);
-    // Both had used the burst, so one of them is owed: a second later the rate passes again.
+    // Both sides have used the burst, so one burst is overdrawn; a second later the rate is admitted again.
     now += Duration::from_millis(1_200);
     let mut admitted = 0.0;
     for _ in 0..10 {
@@ -378,10 +379,10 @@
             exchange_reports(now);
         }
     }
-    assert!((900.0..=1_300.0).contains(&admitted), "{admitted} in the second after");
+    assert!((900.0..=1_300.0).contains(&admitted), "{admitted} in the second after the partition");
 }
 
-/// After a loss of power all nodes start at once, and hear each other a second later.
+/// After a power failure all nodes start at once and reach each other a second later.
 #[test]
 fn nodes_that_start_together_keep_the_rate() {
     let mut now = Instant::now();
@@ -410,5 +411,5 @@
             }
         }
     }
-    assert!((2_500.0..=3_200.0).contains(&admitted), "{admitted} in the three seconds after");
+    assert!((2_500.0..=3_200.0).contains(&admitted), "{admitted} in the three seconds after the start");
 }
--- a/crates/beamwall-gateway/tests/retries.rs
+++ b/crates/beamwall-gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retry budgets: a share of the requests, and a part of the extra that all nodes have together.
+//! Retry budgets: a share of the requests, plus a node's share of the extra retries of all nodes.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Each request earns a fifth of a retry; nothing is saved beside the extra.
+/// Each request earns a fifth of a retry; nothing is saved beyond the extra.
 fn earning() -> RetryAllowance {
     RetryAllowance { earned_percent: 20, saved_percent: 0, extra: 60.0, window: WINDOW }
 }
@@ -39,7 +39,7 @@
     assert_eq!(take_all(&budgets, &service, now), 10);
 }
 
-/// With 77 nodes that each took itself for one of six, 1,013 retries were made where 846 were allowed.
+/// Guards against: 77 nodes that each assumed to be one of six made 1,013 retries where 846 were allowed.
 #[test]
 fn the_extra_is_divided_among_the_known_nodes() {
     let (budgets, service, now) = (RetryBudgets::new(earning(), 6), "one".into(), Instant::now());
@@ -49,8 +49,9 @@
     assert_eq!(take_all(&budgets, &service, now), 2);
 }
 
-/// When a zone's engines went, each of 77 nodes could continue one or two of its twenty streams there: it
-/// could save no more than its part of the extra, whatever it had left unused before.
+/// Guards against: when a zone's engines failed, each of 77 nodes could resume only one or two of its twenty
+/// streams there, because it could save no more than its share of the extra, however many retries it had left
+/// unused before.
 #[test]
 fn a_share_of_the_last_window_is_saved_for_a_burst_of_failures() {
     let allowance = RetryAllowance { earned_percent: 10, saved_percent: 8, extra: 77.0, window: WINDOW };
@@ -59,15 +60,15 @@
     assert_eq!(
         take_all(&budgets, &service, start + WINDOW / 2),
         16,
-        "8 in 100 of 200, and the part of the extra"
+        "8% of 200 requests, and the share of the extra"
     );
     earn(&budgets, &service, 200, start + WINDOW / 2);
     let later = start + WINDOW * 2;
-    assert_eq!(take_all(&budgets, &service, later), 1, "what was saved for an old window is lost");
+    assert_eq!(take_all(&budgets, &service, later), 1, "retries saved for an old window expire");
 }
 
-/// Whatever arrives and fails, in each window the retries stay within the earned share of its requests, the
-/// saved share of the window's before it, and the extra.
+/// Whatever requests arrive and fail, the retries in each window stay within the earned share of its
+/// requests, the saved share of the previous window's requests, and the extra.
 #[test]
 fn in_each_window_retries_stay_within_what_is_allowed() {
     on_seeds(1_000, |random| {
@@ -92,7 +93,7 @@
             let in_window_before = within(&requests, before) - in_window;
             let allowed = 0.10 * in_window + 0.08 * in_window_before.max(in_window) + 5.0 + 2.0;
             let made = within(&retries, window_start);
-            assert!(made <= allowed, "{made} of {allowed}");
+            assert!(made <= allowed, "{made} retries, {allowed} allowed");
         }
         Ok(())
     });
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! The plan of back ends for any load and supply.
+//! The scaling plan for any load and supply of back ends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,19 +32,20 @@
     ScalingInputs { service, limits, zones, needed: needed_for(offered_load), floor }
 }
 
-/// Back ends for a load in busy ones, each as busy as it may be usually, standing in and after a loss.
+/// Back ends needed for a load, given in fully busy back ends, at the utilization allowed normally, while
+/// on-demand back ends substitute for reclaimable ones, and after the loss of a zone.
 fn needed_for(offered_load: f64) -> Needed {
     let count = |busy: f64| (offered_load / busy).ceil() as u32;
     Needed { usual: count(0.33), standing_in: count(0.6), after_loss: count(0.85) }
 }
 
-/// The orders of a plan, each as whether it is for reclaimable back ends and how many it wants.
+/// The orders of a plan as pairs: whether the order is for reclaimable back ends, and the wanted number.
 fn planned(limits: &ScalingLimits, zones: &[ZoneSupply], offered_load: f64, floor: u32) -> Vec<(bool, u32)> {
     let orders = plan(&inputs(&"model".into(), limits, zones, offered_load, floor));
     orders.iter().map(|order| (order.reclaimable, order.wanted)).collect()
 }
 
-/// A zone's supply; the one lasting back end that is kept in all is in the first zone.
+/// The supply of a zone. The one on-demand back end that is always kept is in zone `a`.
 fn supply(zone: &str, reclaimable_usable: u32, is_exhausted: bool) -> ZoneSupply {
     let on_demand = u32::from(zone == "a");
     ZoneSupply {
@@ -67,14 +68,16 @@
     orders.filter(|(is_reclaimable, _)| *is_reclaimable == reclaimable).map(|(_, wanted)| wanted).collect()
 }
 
-/// On a busy day a reclaim left three lasting engines and none could be had for 13 s.
+/// Guards against: after reclaims only three on-demand engines are left, and no reclaimable ones are
+/// available for 13 s.
 #[test]
 fn unavailable_reclaimable_back_ends_are_ordered_as_on_demand() {
     let zones = [supply("a", 0, true), supply("b", 1, false)];
     let limits = limits(true);
-    // Load 3.6 needs six back ends that stand in: two lasting and one reclaimable are there.
+    // Load 3.6 needs six back ends at the substitution utilization. Two on-demand and one reclaimable are
+    // available.
     assert_eq!(wanted_at(3.6, &zones, &limits, false), [3, 2]);
-    // Headroom alone is not worth lasting ones.
+    // Headroom alone does not justify on-demand back ends.
     assert_eq!(wanted_at(0.0, &zones, &limits, false), [1, 0]);
 }
 
@@ -120,16 +123,17 @@
         for zone in &zones {
             let of_zone = orders.iter().filter(|order| order.zone == zone.zone);
             let total: u32 = of_zone.map(|order| order.wanted).sum();
-            assert!((limits.minimum..=limits.maximum).contains(&total), "{total} in a zone");
+            assert!((limits.minimum..=limits.maximum).contains(&total), "{total} back ends in a zone");
         }
         let total: u32 = orders.iter().map(|order| order.wanted).sum();
         let all = limits.maximum * zones.len() as u32;
-        assert!(total >= all.min(offered_load.ceil() as u32), "{total} for {offered_load}");
+        assert!(total >= all.min(offered_load.ceil() as u32), "{total} back ends for load {offered_load}");
         Ok(())
     });
 }
 
-/// On a busy day four lasting engines a zone were ordered and given back every five seconds.
+/// Guards against: four on-demand engines per zone are ordered and released every five seconds under high
+/// load.
 #[test]
 fn substitutes_stay_until_reclaimable_back_ends_take_requests() {
     let limits = limits(true);
@@ -139,7 +143,7 @@
     };
     assert_eq!(on_demand(supply("a", 0, true)), 3);
     let booting = ZoneSupply { lasting_ordered: 4, ..supply("a", 0, false) };
-    assert_eq!(on_demand(booting.clone()), 3, "the order was taken, but none serves yet");
+    assert_eq!(on_demand(booting.clone()), 3, "the order was accepted, but no back end serves yet");
     assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 1, ..booting.clone() }), 2);
     assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 2, ..booting }), 1);
 }
@@ -161,7 +165,8 @@
         orders.iter().map(|order| (OrderKey::of(order), GivenOrder::new(order.wanted, at))).collect();
     let later = at + Duration::from_secs(60);
     assert!(due(&orders, &given, &inputs, later).is_empty());
-    // The reclaimable one was taken away: it is ordered again once it had time to boot.
+    // The reclaimable back end was reclaimed. It is ordered again after the time that it would have needed to
+    // boot.
     let remaining = [supply("a", 0, false)];
     let inputs = ScalingInputs { zones: &remaining, ..inputs };
     assert!(due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
@@ -170,8 +175,9 @@
     assert_eq!(due(&orders, &given, &inputs, at), [orders[0].clone()]);
 }
 
-/// Guards against: a zone's reclaimable back ends are taken away while none can be had, and the holder doesn't learn it until they
-/// would have had time to boot: no lasting ones were ordered before all gateways were killed two seconds later.
+/// Guards against: a zone's reclaimable back ends are reclaimed while no others are available, and the duties
+/// lease holder notices only after their boot time. No on-demand back ends were ordered before all gateways
+/// were killed two seconds later.
 #[test]
 fn reclaimed_back_ends_are_ordered_again_at_once() {
     let limits = limits(true);
@@ -189,51 +195,53 @@
     let given_now = |order: &CapacityOrder| (OrderKey::of(order), GivenOrder::new(order.wanted, at));
     let mut given: BTreeMap<OrderKey, GivenOrder> = orders.iter().map(given_now).collect();
     let soon = at + Duration::from_millis(500);
-    assert!(due(&orders, &given, &inputs(&fewer), soon).is_empty(), "they are still to come");
+    assert!(due(&orders, &given, &inputs(&fewer), soon).is_empty(), "the back ends are still booting");
     note_usable(&mut given, &service, &all);
     assert!(due(&orders, &given, &inputs(&all), soon).is_empty());
     note_usable(&mut given, &service, &fewer);
     assert_eq!(due(&orders, &given, &inputs(&fewer), soon), [orders[1].clone()]);
-    // Once it was ordered again it is waited for.
+    // After the new order, the back end gets time to boot.
     given.insert(OrderKey::of(&orders[1]), GivenOrder::new(orders[1].wanted, soon));
     note_usable(&mut given, &service, &fewer);
     assert!(due(&orders, &given, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
 }
 
-/// On a busy day three zones lost their reclaimable engines one after another, six seconds apart, and lasting
-/// ones took four seconds to boot each time.
+/// Guards against: three zones lose their reclaimable engines one after another, six seconds apart, while
+/// on-demand engines take four seconds to boot each time.
 #[test]
 fn substitutes_carry_the_load_through_the_next_loss() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     let zones = [supply("a", 0, true), supply("b", 10, false), supply("c", 10, false)];
-    // Load 13.8 needs 23 now, which are there, and 17 when one zone has lost its ten, too.
+    // Load 13.8 needs 23 back ends now, which are available, and 17 after another zone has lost its ten.
     assert_eq!(wanted_at(13.8, &zones, &limits, false), [3, 2, 2]);
     let recovered = [supply("a", 10, false), supply("b", 10, false), supply("c", 10, false)];
     assert_eq!(wanted_at(13.8, &recovered, &limits, false), [1, 0, 0]);
 }
 
-/// On a busy day the lease went to another node in the middle of a dry spell. It ordered one lasting engine a
-/// zone, and 18 stand-ins left.
+/// Guards against: the duties lease moves to another node while no reclaimable engines are available. The new
+/// holder ordered one on-demand engine per zone, and 18 substitutes were released.
 #[test]
 fn a_new_lease_holder_keeps_existing_substitutes() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
     let found = |zone| ZoneSupply { lasting_usable: 6, lasting_ordered: 6, ..supply(zone, 5, false) };
     let zones = [found("a"), found("b")];
-    // Load 12 needs twenty: ten reclaimable ones and ten lasting ones.
+    // Load 12 needs twenty back ends: ten reclaimable and ten on-demand ones.
     assert_eq!(wanted_at(12.0, &zones, &limits, false), [6, 4]);
     let held: u32 = wanted_at(1.0, &zones, &limits, true).iter().sum();
-    assert_eq!(held, 10, "it does not know whether more could be had");
+    assert_eq!(held, 10, "the new holder does not know whether more are available");
 }
 
-/// On a large deployment engines were given back before the first request and lacked for ten seconds.
+/// Guards against: in a large deployment, engines are released before the first request and are missing for
+/// ten seconds.
 #[test]
 fn the_floor_is_ordered_as_reclaimable_while_the_load_is_unknown() {
     let zones = [supply("a", 0, false)];
     assert_eq!(planned(&limits(true), &zones, 0.0, 5), [(false, 1), (true, 4)]);
 }
 
-/// On a quiet day of a large deployment one zone's engines were taken away, none could be had anywhere, and
-/// the plan gave back a third of the others at that moment. Five seconds later the next zone was taken away.
+/// Guards against: in a large deployment under low load, one zone's engines are reclaimed, none are available
+/// anywhere, and the plan releases a third of the others at that moment. The next zone was reclaimed five
+/// seconds later.
 #[test]
 fn other_zones_keep_their_back_ends_while_one_zone_cannot_get_its_share() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
@@ -244,7 +252,7 @@
     assert_eq!(held(&recovered), [7, 6, 6]);
 }
 
-/// A zone may be cut off from the others next, and must then serve its own callers.
+/// The zone may be partitioned from the others next and must then serve its own callers.
 #[test]
 fn a_zone_without_available_reclaimable_back_ends_keeps_its_minimum_as_on_demand() {
     let zones = [supply("a", 9, false), supply("b", 9, false), supply("c", 0, true)];
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -1,4 +1,4 @@
-//! How many back ends a workload needs, for any workload.
+//! The number of back ends needed for any workload.
 
 mod support;
 
@@ -39,7 +39,10 @@
                 && one.event_gap_ms <= 60.0
         };
         assert!(meets_objectives(count), "{count} for {work:?}");
-        assert!(count == 1 || !meets_objectives(count - 1), "one less than {count} would do for {work:?}");
+        assert!(
+            count == 1 || !meets_objectives(count - 1),
+            "one less than {count} would suffice for {work:?}"
+        );
         Ok(())
     });
 }
@@ -49,7 +52,8 @@
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)?;
-        // Of the same mix: the objective is kept for 95 in 100 of all, and short ones among long ones make it easier.
+        // With the same mix of requests: the objective holds for 95% of all, and adding short ones to long
+        // ones would make it easier to meet.
         let more = work * (1.0 + f64::from(random.int_in_range(0..=50_u32)?) / 10.0);
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         assert!(needed.usual >= needed.standing_in && needed.standing_in >= needed.after_loss);
@@ -68,7 +72,7 @@
     assert_eq!(sizing::needed(work, &ServiceEstimates::default(), SLOTS, OBJECTIVES), None);
 }
 
-/// An objective that an idle engine misses is no reason to order any number of them.
+/// An objective that even an idle engine misses must not cause orders for any number of engines.
 #[test]
 fn an_unattainable_objective_is_ignored() {
     let work = Workload { requests: 5.0, tokens: 5_000.0, pairs: 0.0, events: 50.0 };
@@ -78,8 +82,9 @@
     assert_eq!(count(impossible), count(free));
 }
 
-/// Many engines whose requests are placed by who knows all of them need less headroom each: at 60 engines a third of
-/// their time would be three times what random arrivals need.
+/// Many engines whose requests are placed by one node with knowledge of all of them need less headroom each:
+/// with 60 engines, a limit of a third of their time would be three times the headroom that random arrivals
+/// need.
 #[test]
 fn many_back_ends_may_have_higher_utilization_than_few() {
     for count in 1..=25 {
@@ -90,12 +95,12 @@
         let fullness = usual_fullness(count);
         assert!(fullness.reading >= before && fullness.reading <= 0.6, "{fullness:?} of {count} back ends");
         before = fullness.reading;
-        // What is left when every fifth is lost is less than full.
+        // After the loss of a fifth of the back ends, the remaining ones are below full utilization.
         assert!(fullness.reading / 0.8 < 0.8, "{fullness:?} of {count} back ends");
     }
 }
 
-/// At several speeds of engines: more work never needs fewer, and the fewest that do are chosen.
+/// Also where the allowed utilization depends on the number: the smallest sufficient number is chosen.
 #[test]
 fn the_normal_number_is_the_fewest_at_any_size() {
     let estimates = estimates();
@@ -113,7 +118,7 @@
         assert!(meets_objectives(needed.usual), "{} for {work:?}", needed.usual);
         assert!(
             needed.usual == 1 || !meets_objectives(needed.usual - 1),
-            "one less than {} would do",
+            "one less than {} would suffice",
             needed.usual
         );
         assert!(needed.usual >= needed.standing_in);
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -1,7 +1,8 @@
-//! Engines that quietly turn slow, as a fleet of many gateways finds them.
+//! Detection of engines that become slow without failing requests, by a fleet of many gateways.
 //!
-//! The load: 160 engines, 24 of which fall to a quarter of their speed for a while and fail nothing; 670 requests a
-//! second at random ones of 295 gateways, so that a gateway sees an engine once in a minute. Time is simulated.
+//! Load: 160 engines, 24 of which drop to a quarter of their speed for a while without errors; 670 requests
+//! per second at random gateways out of 295, so that each gateway uses an engine about once a minute. Time is
+//! simulated.
 
 mod support;
 
@@ -19,21 +20,21 @@
 use tokio::time::Instant;
 
 const ENGINES: usize = 160;
-/// Requests that an engine works on at once.
+/// Concurrent requests per engine.
 const SLOTS: u32 = 48;
 const SLOW_ENGINES: usize = 24;
 const GATEWAYS: usize = 295;
 const REQUESTS_PER_SECOND: f64 = 670.0;
-/// How much longer a slow engine takes.
+/// Factor by which a slow engine takes longer.
 const SLOW_FACTOR: f64 = 4.0;
-/// When the engines turn slow, and when they are well again.
+/// When the engines become slow, and when they have recovered.
 const SLOW_FROM_S: f64 = 2.0;
 const SLOW_UNTIL_S: f64 = 10.0;
 const DURATION_S: usize = 22;
-/// Time between two fits of the models at the node that places.
+/// Time between two model fits at the placement node.
 const REFRESH_S: f64 = 0.5;
 
-/// A request that is under way; the one that ends first is the greatest.
+/// A request in flight. The one that completes first orders as the greatest.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightRequest {
     completes_at: std::cmp::Reverse<Instant>,
@@ -63,7 +64,7 @@
         Self { directory: support::directory(ENGINES, SLOTS), placer, gateways, in_flight: BinaryHeap::new() }
     }
 
-    /// Places a request of a gateway, which reports what it observed.
+    /// Places a request of a gateway, after the gateway has reported its observations.
     fn send(
         &mut self,
         gateway: usize,
@@ -102,7 +103,7 @@
         engine
     }
 
-    /// Ends what has begun to answer by now.
+    /// Completes the requests whose first event is due by now.
     fn complete_due(&mut self) {
         let now = Instant::now();
         while self.in_flight.peek().is_some_and(|request| request.completes_at.0 <= now) {
@@ -120,7 +121,7 @@
     (0..SLOW_ENGINES).any(|number| *engine == BackendId::from(format!("e{number}").as_str()))
 }
 
-/// The share of the requests of each second that slow engines get, in hundredths.
+/// Percentage of each second's requests that go to slow engines.
 async fn shares() -> Vec<f64> {
     let mut fleet = Fleet::new();
     let mut random = SmallRng::seed_from_u64(11);
@@ -155,8 +156,9 @@
     let shares = shares().await;
     println!("{shares:.1?}");
     let mean = |from: usize, until: usize| shares[from..until].iter().sum::<f64>() / (until - from) as f64;
-    assert!(mean(0, 2) > 10.0, "a fair share would be 15: {shares:.1?}");
-    assert!(mean(4, 10) < 4.0, "slow engines get too much: {shares:.1?}");
-    // From 10 s after they are well; less loaded engines are as fast, so no more is lost by it.
-    assert!(mean(20, 22) > 3.0, "they are not used again: {shares:.1?}");
+    assert!(mean(0, 2) > 10.0, "a fair share would be 15%: {shares:.1?}");
+    assert!(mean(4, 10) < 4.0, "slow engines get too many requests: {shares:.1?}");
+    // From 10 s after the recovery. Other engines are less loaded and as fast, so the delay costs nothing
+    // more.
+    assert!(mean(20, 22) > 3.0, "recovered engines are not used again: {shares:.1?}");
 }
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -1,13 +1,13 @@
-//! A version of a service that is several times slower, as a gateway judges its answers during a rollout.
+//! Detection of slow responses of a service version that is several times slower, during a rollout.
 //!
-//! The load: one answer in twenty is of the new version's few engines, each of which takes three or eight times as long as those of
-//! the old one. Time is simulated.
+//! Load: one response in twenty comes from the new version's few engines, each of which takes three or eight
+//! times as long as those of the old version. Time is simulated.
 //!
-//! Seen in reading, then by the test below: a version eight times slower gave bad answers for a moment, and usual ones from then on.
-//! How: an answer counts as slow where it took several times what was expected of its engine, and what is expected of an engine
-//! follows what it did: after four answers of one that is eight times slower, four times the usual was expected. Cause: what serves
-//! the choice of an engine was taken for what is usual. Proof: the shares of slow answers below, 3 and 12 in 100. The simulations
-//! of rollouts assume 70 and 98 in 100.
+//! Guards against: a version that is eight times slower is detected as slow only for a moment. A response
+//! counts as slow if it took several times the expected time. When that expectation includes the engine's own
+//! slowness, as it does for the choice of an engine, it adapts: after four responses of an engine that is
+//! eight times slower, four times the normal time was expected. Then only 3% and 12% of the responses counted
+//! as slow; the rollout simulations assume 70% and 98%.
 
 mod support;
 
@@ -21,13 +21,13 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Engines of the new version that take requests.
+/// Engines of the new version that receive requests.
 const NEW_ENGINES: usize = 5;
-/// Answers of the old version for each of the new one.
+/// Responses of the old version for each one of the new version.
 const OLD_ANSWERS_PER_NEW: usize = 19;
-/// Answers of the new version.
+/// Responses of the new version.
 const NEW_ANSWERS: usize = 200;
-/// Time between two answers.
+/// Time between two responses.
 const ANSWER_INTERVAL: Duration = Duration::from_millis(5);
 /// Prompt tokens of each request.
 const TOKENS: u64 = 4_000;
@@ -44,7 +44,8 @@
         Self { knowledge, random: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Lets an engine answer that takes `factor` times the usual time, and some noise; gives whether that counts as slow.
+    /// Simulates a response that takes `factor` times the normal time, with noise, and returns whether it
+    /// counts as slow.
     async fn answer(&mut self, engine: &BackendId, factor: f64) -> bool {
         tokio::time::advance(ANSWER_INTERVAL).await;
         let now = Instant::now();
@@ -71,7 +72,8 @@
     }
 }
 
-/// Shares of slow answers, in hundredths, of the new version that takes `factor` times as long, and of the old one.
+/// Percentages of slow responses of the new version, which takes `factor` times as long, and of the old
+/// version.
 async fn slow_shares(factor: f64) -> (f64, f64) {
     let mut observer = Observer::new(7);
     let (mut slow_new, mut slow_old) = (0, 0);
@@ -91,14 +93,14 @@
 async fn a_slow_version_stays_slow_however_long_it_is_observed() {
     for (factor, least) in [(3.0, 70.0), (8.0, 98.0)] {
         let (new, old) = slow_shares(factor).await;
-        println!("{factor} times slower: {new:.0} in 100 answers slow, {old:.1} of the old version");
-        assert!(new >= least, "{factor} times slower: {new} in 100 answers count as slow");
-        assert!(old <= 1.0, "{old} in 100 answers of the old version count as slow");
+        println!("{factor} times slower: {new:.0}% of its responses slow, {old:.1}% of the old version's");
+        assert!(new >= least, "{factor} times slower: {new}% of responses count as slow");
+        assert!(old <= 1.0, "{old}% of the old version's responses count as slow");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_version_that_is_as_fast_as_the_old_one_is_not_slow() {
     let (new, _) = slow_shares(1.0).await;
-    assert!(new <= 1.0, "{new} in 100 answers count as slow");
+    assert!(new <= 1.0, "{new}% of responses count as slow");
 }
--- a/crates/beamwall-gateway/tests/startup.rs
+++ b/crates/beamwall-gateway/tests/startup.rs
@@ -1,11 +1,12 @@
-//! Requests that come before a gateway knows its first policy and its first back ends.
+//! Requests that arrive before a gateway has its first policy and its first back ends.
 //!
-//! The load: all gateways of a deployment start at once, and callers reach them over the addresses that they had before.
+//! Load: all gateways of a deployment start at once, and callers reach them at the addresses that they had
+//! before.
 //!
-//! Seen: after a loss of power 120 requests of one zone were refused in the first second with "this node knows no policy yet",
-//! though each gateway knew one a moment later. How: the balancer sends callers to gateways that are not ready where most of them
-//! are not. Cause: such a request was refused at once, though nobody knew yet whether it can be served. Proof: a policy that
-//! comes 50 ms after the request did not help it.
+//! Guards against: after a power failure 120 requests of one zone were refused in the first second with "this
+//! node knows no policy yet", although each gateway had a policy a moment later. The load balancer sends
+//! requests to gateways that are not ready when most of them are not, and such a request was refused at once,
+//! even if the policy arrived only 50 ms later.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -15,10 +16,11 @@
 
 /// Time after which the policy and the back ends are known.
 const KNOWN_AFTER: Duration = Duration::from_millis(50);
-/// Patience of a caller of a stream.
+/// Time that the caller of a stream is willing to wait.
 const PATIENCE: Duration = Duration::from_secs(4);
 
-/// Waits as a request does; gives whether all is known then, and how long that took.
+/// Waits as a request does. Returns whether the policy and back ends are known afterwards, and the time
+/// waited.
 async fn wait(known_after: Duration, patience: Option<Duration>) -> (bool, Duration) {
     let started = Instant::now();
     let is_known = || started.elapsed() >= known_after;
@@ -45,14 +47,14 @@
     assert_eq!(checks.get(), 1);
 }
 
-/// Without a policy the objective of a request is not known. One that is held for long and not served is worse off than one that is
-/// refused.
+/// Without a policy the objective of a request is not known. A request that waits long and is not served is
+/// worse off than one that is refused.
 #[tokio::test(start_paused = true)]
 async fn a_request_does_not_wait_long_when_they_stay_unknown() {
     let never = Duration::from_secs(3_600);
     for patience in [None, Some(PATIENCE), Some(Duration::from_secs(60))] {
         let (is_known, waited) = wait(never, patience).await;
-        assert!(!is_known && waited <= LONGEST_WAIT, "{waited:?} of a patience of {patience:?}");
+        assert!(!is_known && waited <= LONGEST_WAIT, "waited {waited:?} with a patience of {patience:?}");
     }
     let short_patience = Duration::from_millis(600);
     let (_, waited) = wait(never, Some(short_patience)).await;
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a service whose engines are known, and a request.
+//! Shared test fixtures: a service with known engine statistics, its directory, and a call.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -13,30 +13,30 @@
 use beamwall_quarantine::Admission;
 use tokio::time::Instant;
 
-/// Prompt tokens that the engines read in a millisecond.
+/// Prompt tokens that the engines prefill per millisecond.
 pub const TOKENS_PER_MS: f64 = 32.0;
-/// Milliseconds in which they compare a million pairs of tokens.
+/// Milliseconds of attention per million token pairs.
 pub const PAIRS_MS_PER_MILLION: f64 = 1.2;
-/// Milliseconds that each running request adds to the start of another.
+/// Milliseconds that each running request adds to another request's time to first event.
 pub const RUNNING_MS: f64 = 2.0;
-/// Milliseconds between two events where nothing else runs.
+/// Milliseconds between two events when nothing else runs.
 pub const EVENT_GAP_MS: f64 = 20.0;
-/// Milliseconds that each running request adds to them.
+/// Milliseconds that each running request adds to the event gap.
 pub const EVENT_GAP_MS_EACH: f64 = 1.0;
-/// Milliseconds of a plain call, and what each running one adds.
+/// Duration of a plain call in milliseconds, which is also what each running call adds.
 pub const PLAIN_CALL_MS: f64 = 15.0;
 
-/// Time to read a part of a prompt.
+/// Time to prefill a part of a prompt.
 pub fn prefill_ms(reading: Reading) -> f64 {
     reading.tokens as f64 / TOKENS_PER_MS + reading.pairs as f64 / 1e6 * PAIRS_MS_PER_MILLION
 }
 
-/// What was observed of such engines, without any noise.
+/// Statistics observed at such engines, without noise.
 pub fn typical_statistics() -> ServiceStatistics {
     statistics_with_running_ms(RUNNING_MS)
 }
 
-/// The same of engines at which each running request adds `running_ms` to the start of another.
+/// Statistics of engines at which each running request adds `running_ms` to another's time to first event.
 pub fn statistics_with_running_ms(running_ms: f64) -> ServiceStatistics {
     let mut statistics = ServiceStatistics::default();
     let unknown = ServiceEstimates::default();
@@ -55,20 +55,20 @@
     statistics
 }
 
-/// Lets a node know the service `pool`.
+/// Adds statistics of the service `pool`, as if reported by a peer.
 pub fn add_peer_statistics(models: &EngineModels<Reporter>, statistics: ServiceStatistics) {
     models.set_peer(&Reporter::Node("teacher".into()), [("pool".into(), statistics)].into());
     models.refresh(Instant::now());
 }
 
-/// An engine of the service `pool` that tells no life and takes requests.
+/// An engine of the service `pool` that reports no start time and accepts requests.
 pub fn backend(instance: &str) -> Backend {
     Backend {
         id: instance.into(),
         instance: instance.into(),
         born_ms: None,
         service: "pool".into(),
-        // Nothing listens there.
+        // Nothing listens on this port.
         address: ([127, 0, 0, 1], 1).into(),
         zone: "a".into(),
         version: "v1".into(),
@@ -78,13 +78,13 @@
     }
 }
 
-/// A life of an engine that began at `born_ms`.
+/// An engine whose process started at `born_ms`.
 pub fn backend_started_at(instance: &str, born_ms: u64) -> Backend {
     let id = BackendId::of_life(&instance.into(), Some(born_ms));
     Backend { id, born_ms: Some(born_ms), ..backend(instance) }
 }
 
-/// A list of engines `e0`, `e1` and so on of the service `pool`, each of which works on `slots` requests at once.
+/// A directory of engines `e0`, `e1` and so on of the service `pool`, each with `slots` concurrent requests.
 pub fn directory(engines: usize, slots: u32) -> Directory {
     let backend = |number: usize| Backend { slots, ..backend(&format!("e{number}")) };
     let mut directory = Directory::default();
@@ -93,7 +93,7 @@
     directory
 }
 
-/// A request of a route and a tenant with these ranks.
+/// A call on a route and of a tenant with these ranks.
 pub fn call(route_rank: u8, tenant_rank: Option<u8>, prompt_tokens: u32) -> Call {
     let now = Instant::now();
     let tenant = Tenant {
--- a/crates/beamwall-gateway/tests/suspension.rs
+++ b/crates/beamwall-gateway/tests/suspension.rs
@@ -1,4 +1,5 @@
-//! A machine that was suspended: its steady clock stood still, the time of day and the world did not.
+//! Clocks and timers across a suspension of the machine, in which its monotonic clock stops but real time
+//! advances.
 
 mod support;
 
@@ -16,7 +17,7 @@
         clock.hear(&peer.into(), SystemTime::now(), now());
     }
     simulation::suspend_for(SUSPENDED_FOR);
-    // In the simulation the own clock of the day has stood still, and is outvoted by two.
+    // The simulation also stops the local wall clock, which is outvoted by two peers.
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
     assert!(ahead > SUSPENDED_FOR - Duration::from_millis(100), "{ahead:?}");
 }
@@ -32,16 +33,17 @@
     assert!(ahead < Duration::from_millis(100), "{ahead:?}");
 }
 
-/// A caller with 4 s of patience, whose engine is silent, got its answer 4 s after the machine woke, however long it had slept: the
-/// timer that ends a request stood still with the steady clock. What was left by the counting clock was 0 all that time.
+/// Guards against: a caller with a deadline of 4 s and a silent engine gets its response 4 s after the
+/// machine resumes, however long the suspension was. The timer that ends a request stopped with the monotonic
+/// clock, although the clock that includes suspensions showed 0 s remaining all that time.
 #[tokio::test]
 async fn an_open_request_times_out_soon_after_the_machine_wakes() {
     let mut call = support::call(0, None, 100);
     call.deadline = call.received + SUSPENDED_FOR;
     let mut time_is_up = std::pin::pin!(call.time_is_up());
     let before_suspension = tokio::time::timeout(Duration::from_millis(100), &mut time_is_up).await;
-    assert!(before_suspension.is_err(), "{:?} are left", call.remaining());
+    assert!(before_suspension.is_err(), "{:?} remaining", call.remaining());
     simulation::suspend_for(SUSPENDED_FOR);
     assert_eq!(call.remaining(), Duration::ZERO);
-    tokio::time::timeout(SUSPENDED_FOR * 3 / 4, time_is_up).await.expect("it is up");
+    tokio::time::timeout(SUSPENDED_FOR * 3 / 4, time_is_up).await.expect("the request times out");
 }
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage counts of several lives of several nodes.
+//! Usage counts of several nodes over several generations of their processes.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -28,11 +28,11 @@
     before.record(&"alder".into(), second(11));
     here.merge(&"n1".into(), 1, before.recent(3));
     here.merge(&"n1".into(), 1, before.recent(3));
-    // The node is killed and counts anew in its next life.
+    // The node is killed and counts from zero in its next generation.
     after.record(&"alder".into(), second(12));
     after.record(&"alder".into(), second(13));
     here.merge(&"n1".into(), 2, after.recent(3));
-    // A telling of the earlier life that arrives late changes nothing.
+    // A late report of the earlier generation has no effect.
     here.merge(&"n1".into(), 1, before.recent(3));
     assert_eq!(here.total(2).counts, [("alder".into(), 3)].into());
 }
@@ -44,14 +44,14 @@
     killed.record(&"alder".into(), second(11));
     survivor.merge(&"n1".into(), 1, killed.recent(3));
     for _ in 0..2 {
-        // Twice: what is known counts once.
+        // Merging twice counts once.
         for (node, generation, counts) in survivor.lives(3) {
             started.merge(&node, generation, counts);
         }
     }
     started.record(&"alder".into(), second(12));
     assert_eq!(started.total(2).counts, [("alder".into(), 2)].into());
-    assert_eq!(started.sum_of_nodes(3), started.sum_of_nodes(1), "one window");
+    assert_eq!(started.sum_of_nodes(3), started.sum_of_nodes(1), "all requests are in one window");
 }
 
 #[test]
@@ -85,14 +85,15 @@
     let one = there.sum_of_nodes(3);
     there.record(&"alder".into(), second(12));
     here.merge_zone(&"east".into(), there.sum_of_nodes(3));
-    // The sum of a relay that has heard less arrives later.
+    // A smaller sum, from a relay with fewer reports, arrives later.
     here.merge_zone(&"east".into(), one);
     assert_eq!(here.total(2).counts, [("alder".into(), 3)].into());
-    // What other zones told is not told to them again.
+    // Sums received from other zones are not sent back to them.
     assert_eq!(here.sum_of_nodes(3)[0].counts, [("alder".into(), 1)].into());
 }
 
-/// Guards against usage that is lost with all nodes: what was written down and what later lives count are summed.
+/// Guards against: usage is lost when all nodes end. The stored counts and those of later generations are
+/// added up.
 #[test]
 fn stored_counts_are_carried_over_when_all_processes_end() {
     let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
@@ -105,7 +106,7 @@
     after.carry(stored);
     after.record(&"alder".into(), second(13));
     assert_eq!(after.total(2).counts, [("alder".into(), 3)].into());
-    // And once more, with a life that is known from others as well.
+    // Carried over once more, with a generation that is also known from a peer.
     let last = UsageLedger::new(WINDOW).of_life(&"n3".into(), 1);
     last.merge(&"n2".into(), 1, other.recent(3));
     last.carry(after.to_carry(2));
@@ -113,7 +114,8 @@
     assert_eq!(last.total(2).counts, [("alder".into(), 3), ("birch".into(), 1)].into());
 }
 
-/// A successor that has heard the lives counts none of them twice, also where they went on counting.
+/// A new lease holder that has received the reports of running processes counts none of them twice, even if
+/// they continued to count after their counts were stored.
 #[test]
 fn stored_counts_of_running_processes_count_once() {
     let lease_holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
@@ -129,7 +131,8 @@
     assert_eq!(successor.total(2).counts, [("alder".into(), 4)].into());
 }
 
-/// Whatever is killed when, nothing is counted twice, and nothing is lost that was told before it was written down.
+/// Whichever nodes are killed and when, no request is counted twice, and none is lost that was reported
+/// before the counts were stored.
 #[test]
 fn totals_are_at_least_the_stored_counts_and_at_most_the_requests_run() {
     beamwall_seeds::on_seeds(2_000, |random| {
@@ -157,11 +160,11 @@
                     }
                 }
                 4 => {
-                    // One takes the duty over and writes down what it knows.
+                    // One node takes over the duty and stores its counts.
                     nodes[node].carry(stored.take().unwrap_or_default());
                     let total = nodes[node].total(2).counts.values().sum();
-                    assert!(total >= stored_total, "{total} of {stored_total} stored");
-                    assert!(total <= ran, "{total} of {ran}");
+                    assert!(total >= stored_total, "total {total} is below the stored {stored_total}");
+                    assert!(total <= ran, "total {total} exceeds the {ran} requests run");
                     (stored, stored_total) = (Some(nodes[node].to_carry(0)), total);
                 }
                 _ => {
@@ -174,8 +177,9 @@
     });
 }
 
-/// Known red: in a large deployment the sums of a zone whose nodes were all killed begin anew, and what was written down holds the
-/// earlier ones. The sums say nothing of lives, so the larger of both counts.
+/// Listed in KNOWN-RED.txt. In a large deployment the sums of a zone start from zero after all its nodes were
+/// killed, while the stored counts include the earlier sums. Sums carry no generation, so only the larger of
+/// both counts.
 #[test]
 fn what_zones_count_after_all_nodes_were_killed_comes_on_top() {
     let sum = |requests| vec![WindowCounts { window: 2, counts: [("alder".into(), requests)].into() }];
