--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -131,7 +131,7 @@
     }
     forwarder.knowledge.health.note_heard(&choice.backend, running::now());
     source.work.begin_answer();
-    note_first_event(forwarder, call, choice, sent_at);
+    record_time_to_first_event(forwarder, call, choice, sent_at);
     forwarder.record_run(call);
     if let Some(prompt) = &call.prompt {
         forwarder.knowledge.prefixes.note_read(&choice.backend, prompt, Instant::now());
@@ -142,7 +142,7 @@
 
 /// Records the engine's time to first event. Events that were ready before the request, as in a resumed
 /// stream, count as well.
-fn note_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
+fn record_time_to_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.knowledge.models;
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -146,19 +146,19 @@
 
     fn measure_event_gap(&self, gap_meter: &mut EventGapMeter, source: &Source, events: u32, now: Instant) {
         if let Some(mean_gap_ms) = gap_meter.add_events(events, now) {
-            self.note_event_gap(source, mean_gap_ms);
+            self.record_mean_gap(source, mean_gap_ms);
         }
     }
 
     fn record_whole_stream(&self, gap_meter: &EventGapMeter, source: &Source) {
         let now = running::now();
         if let Some(mean_gap_ms) = gap_meter.final_gap_ms(now) {
-            self.note_event_gap(source, mean_gap_ms);
+            self.record_mean_gap(source, mean_gap_ms);
         }
         self.forwarder.knowledge.models.note_stream(&self.call.service, gap_meter.elapsed_ms(now));
     }
 
-    fn note_event_gap(&self, source: &Source, mean_gap_ms: f64) {
+    fn record_mean_gap(&self, source: &Source, mean_gap_ms: f64) {
         let service = &self.call.service;
         let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
         let models = &self.forwarder.knowledge.models;
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -219,7 +219,7 @@
 /// has few streams there, and the silence of an engine is no evidence if no stream of the node is waiting for
 /// its events.
 #[test]
-fn an_engine_answers_only_requests_whose_first_event_arrived() {
+fn requests_count_as_answering_after_their_first_event() {
     let book = Arc::new(LoadBook::default());
     let engine: BackendId = "e".into();
     let waiting = book.open(&engine, 10);
--- a/crates/beamwall-gateway/tests/quotas.rs
+++ b/crates/beamwall-gateway/tests/quotas.rs
@@ -186,9 +186,9 @@
 }
 
 /// A large deployment: nodes of one zone report directly, other zones through summaries.
-fn zoned(zones: usize, nodes_a_zone: usize) -> QuotaMembership {
-    let all = zones * nodes_a_zone;
-    QuotaMembership { reachable: all, known: all, direct: nodes_a_zone }
+fn zoned(zones: usize, nodes_per_zone: usize) -> QuotaMembership {
+    let all = zones * nodes_per_zone;
+    QuotaMembership { reachable: all, known: all, direct: nodes_per_zone }
 }
 
 fn tenant_usage(total: f64) -> HashMap<TenantName, f64> {
