--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -155,14 +155,14 @@
         if let Some(mean_gap_ms) = gap_meter.final_gap_ms(now) {
             self.record_mean_gap(source, mean_gap_ms);
         }
-        self.forwarder.knowledge.models.note_stream(&self.call.service, gap_meter.elapsed_ms(now));
+        self.forwarder.knowledge.models.record_stream(&self.call.service, gap_meter.elapsed_ms(now));
     }
 
     fn record_mean_gap(&self, source: &Source, mean_gap_ms: f64) {
         let service = &self.call.service;
         let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
         let models = &self.forwarder.knowledge.models;
-        models.note_event_gap(service, &source.choice.backend, running, mean_gap_ms, Instant::now());
+        models.record_event_gap(service, &source.choice.backend, running, mean_gap_ms, Instant::now());
     }
 
     /// Waits for the next piece. A silent engine is abandoned only if another one takes the stream: late
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -25,8 +25,8 @@
 };
 use beamwall_http::Pool;
 use beamwall_model::ChoiceStrategy;
-use beamwall_quarantine::{Fingerprint, QuarantineBook};
-use beamwall_rollout::RolloutBook;
+use beamwall_quarantine::{Fingerprint, QuarantineRegistry};
+use beamwall_rollout::RolloutRegistry;
 use hyper::{HeaderMap, StatusCode};
 use tokio::time::Instant;
 
@@ -69,7 +69,7 @@
 fn forwarder(engines: usize, retries: f64) -> Forwarder {
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
-    let book: Arc<QuarantineBook> = Arc::default();
+    let book: Arc<QuarantineRegistry> = Arc::default();
     let quarantine =
         Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(StubPorts));
     let allowance =
@@ -84,7 +84,7 @@
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
         placement: Arc::new(StubPorts),
         demand: DemandBook::default(),
-        rollouts: RolloutBook::default(),
+        rollouts: RolloutRegistry::default(),
         quarantine: Arc::new(quarantine),
         retries: RetryBudgets::new(allowance, 1),
         usage: UsageLedger::new(SECOND),
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -6,7 +6,7 @@
 
 mod support;
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates, ServiceStatistics};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates, ServiceStatistics};
 use beamwall_gateway::choice::{Candidate, Expectation, choose};
 use beamwall_gateway::health::HealthView;
 use beamwall_gateway::load::OpenLoad;
@@ -19,7 +19,7 @@
 const REQUESTS: usize = 60;
 
 /// Actual prefill time at engines that are `factor` times as fast.
-fn prefill_ms(reading: Reading, factor: f64) -> f64 {
+fn prefill_ms(reading: PrefillWork, factor: f64) -> f64 {
     support::prefill_ms(reading) / factor
 }
 
@@ -31,18 +31,18 @@
         if number % 10 == 0 {
             known = statistics.estimates();
         }
-        let of = FirstEvent {
-            reading: Reading::of_rest((number % 3) * 500, 1 + number * 7_919 % 20_000),
+        let of = FirstEventInputs {
+            prefill: PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000),
             tokens_ahead: number * 104_729 % 15_000,
             running: (number % 24) as u32,
         };
-        let ahead_ms = prefill_ms(Reading { tokens: of.tokens_ahead, pairs: 0 }, factor);
-        let actual_ms = 5.0 + prefill_ms(of.reading, factor) + ahead_ms;
+        let ahead_ms = prefill_ms(PrefillWork { tokens: of.tokens_ahead, pairs: 0 }, factor);
+        let actual_ms = 5.0 + prefill_ms(of.prefill, factor) + ahead_ms;
         // Up to 10% of noise, and every twentieth request takes four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
-        statistics.note_first_event(of, actual_ms * noise * outlier, &known);
-        statistics.note_event_gap(of.running, 20.0 / factor, &known);
+        statistics.record_first_event(of, actual_ms * noise * outlier, &known);
+        statistics.record_event_gap(of.running, 20.0 / factor, &known);
     }
     statistics.estimates()
 }
@@ -60,9 +60,9 @@
         Self { free_at_ms: vec![0.0; count], cached_sessions: vec![Vec::new(); count], factor }
     }
 
-    fn reading(&self, engine: usize, session: u64, tokens: u64) -> Reading {
+    fn reading(&self, engine: usize, session: u64, tokens: u64) -> PrefillWork {
         let cached = if self.cached_sessions[engine].contains(&session) { tokens / 2 } else { 0 };
-        Reading::of_rest(cached, tokens - cached)
+        PrefillWork::of_uncached(cached, tokens - cached)
     }
 
     /// Time from now until the engine would start to respond.
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beamwall_engine_model::Reading;
+use beamwall_engine_model::PrefillWork;
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::health::HealthBook;
@@ -37,7 +37,7 @@
 
 /// Time that an engine needs to prefill a whole prompt.
 fn prefill_ms(tokens: u64) -> f64 {
-    support::prefill_ms(Reading::of_rest(0, tokens))
+    support::prefill_ms(PrefillWork::of_uncached(0, tokens))
 }
 
 fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, avoided: &[BackendId]) -> BackendId {
@@ -143,14 +143,14 @@
 
 #[test]
 fn the_end_of_a_long_prompt_takes_longer_to_prefill() {
-    assert_eq!(Reading::of_rest(0, 500), Reading { tokens: 500, pairs: 125_000 });
-    assert_eq!(Reading::of_rest(6_000, 0), Reading::default());
-    assert_eq!(Reading::of_rest(6_000, 3_000), Reading { tokens: 3_000, pairs: 22_500_000 });
+    assert_eq!(PrefillWork::of_uncached(0, 500), PrefillWork { tokens: 500, pairs: 125_000 });
+    assert_eq!(PrefillWork::of_uncached(6_000, 0), PrefillWork::default());
+    assert_eq!(PrefillWork::of_uncached(6_000, 3_000), PrefillWork { tokens: 3_000, pairs: 22_500_000 });
     let estimates = support::typical_statistics().estimates();
     for (cached, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
-        let reading = Reading::of_rest(cached, unread);
+        let reading = PrefillWork::of_uncached(cached, unread);
         let (estimated, actual) =
-            (estimates.reading_ms(reading).expect("known"), support::prefill_ms(reading));
+            (estimates.prefill_ms(reading).expect("known"), support::prefill_ms(reading));
         assert!((estimated / actual - 1.0).abs() < 0.05, "{estimated} instead of {actual} for {reading:?}");
     }
 }
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -34,7 +34,7 @@
         let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             one.running <= f64::from(SLOTS) * USUAL.slots
-                && one.reading_share <= USUAL.reading
+                && one.prefill_share <= USUAL.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -111,7 +111,7 @@
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
             let fullness = usual_fullness(count);
             one.running <= f64::from(SLOTS) * fullness.slots
-                && one.reading_share <= fullness.reading
+                && one.prefill_share <= fullness.reading
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -9,7 +9,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use beamwall_engine_model::{EngineModels, FirstEvent, Reading};
+use beamwall_engine_model::{EngineModels, FirstEventInputs, PrefillWork};
 use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::EngineGroup;
@@ -72,7 +72,7 @@
         service_time_ms: impl FnOnce(&BackendId, f64) -> f64,
     ) -> BackendId {
         let now = Instant::now();
-        self.placer.models.hear_report(self.gateways[gateway].take_unreported(|_| true, now), now);
+        self.placer.models.add_report(self.gateways[gateway].take_unreported(|_| true, now), now);
         let parts = vec![PromptPart { id: now.elapsed().as_nanos() as u64, tokens: tokens as u32 }];
         let prompt = Prompt { prompt_tokens: tokens as u32, output_tokens: 10, parts };
         let search = Search {
@@ -88,7 +88,7 @@
         let estimates = self.placer.models.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
         let engine = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
-        let prefill_ms = support::prefill_ms(Reading::of_rest(0, tokens));
+        let prefill_ms = support::prefill_ms(PrefillWork::of_uncached(0, tokens));
         self.placer.queues.add(&engine, prefill_ms, now);
         let completes_at =
             now + Duration::from_secs_f64(service_time_ms(&engine, 5.0 + prefill_ms) / 1_000.0);
@@ -108,11 +108,11 @@
         let now = Instant::now();
         while self.in_flight.peek().is_some_and(|request| request.completes_at.0 <= now) {
             let Some(request) = self.in_flight.pop() else { return };
-            let reading = Reading::of_rest(0, request.tokens);
-            let of = FirstEvent { reading, tokens_ahead: 0, running: 0 };
+            let reading = PrefillWork::of_uncached(0, request.tokens);
+            let of = FirstEventInputs { prefill: reading, tokens_ahead: 0, running: 0 };
             let took_ms = (request.completes_at.0 - request.sent_at).as_secs_f64() * 1_000.0;
             let models = &self.gateways[request.gateway];
-            models.note_first_event(&"pool".into(), &request.engine, of, took_ms, now);
+            models.record_first_event(&"pool".into(), &request.engine, of, took_ms, now);
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -226,7 +226,7 @@
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_work_of(&Reporter::Node(member.node.clone()));
             self.gateway.forwarder.usage.forget_node(&member.node);
-            self.rollouts().forget_node(&member.node);
+            self.rollouts().remove_node_evidence(&member.node);
         }
     }
 
@@ -234,6 +234,6 @@
     pub(super) fn forget_work_of(&self, reporter: &Reporter) {
         self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
         self.gateway.forwarder.demand.forget_peer(reporter);
-        self.gateway.forwarder.knowledge.models.forget_peer(reporter);
+        self.gateway.forwarder.knowledge.models.remove_peer(reporter);
     }
 }
