--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -11,17 +11,13 @@
 
 /// The choice of an engine that has `tokens_ahead` tokens to prefill before this request.
 fn choice(estimates: &ServiceEstimates, tokens_ahead: u64) -> Choice {
-    let reading = PrefillWork::of_uncached(0, 1_000);
+    let prefill = PrefillWork::of_uncached(0, 1_000);
     Choice {
         backend: "e0".into(),
         cost_ms: 0.0,
-        expected_ms: estimates.first_event_ms(FirstEventInputs {
-            prefill: reading,
-            tokens_ahead,
-            running: 3,
-        }),
+        expected_ms: estimates.first_event_ms(FirstEventInputs { prefill, tokens_ahead, running: 3 }),
         slowness: 1.0,
-        reading,
+        reading: prefill,
         tokens_ahead,
         open_requests: 3,
         failure_share: 0.0,
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -69,9 +69,9 @@
 fn forwarder(engines: usize, retries: f64) -> Forwarder {
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
-    let book: Arc<QuarantineRegistry> = Arc::default();
+    let registry: Arc<QuarantineRegistry> = Arc::default();
     let quarantine =
-        Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(StubPorts));
+        Quarantine::new(registry, pool.clone(), directory.clone(), clock.clone(), Arc::new(StubPorts));
     let allowance =
         RetryAllowance { earned_percent: 100, saved_percent: 0, extra: retries, window: SECOND * 10 };
     Forwarder {
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -19,8 +19,8 @@
 const REQUESTS: usize = 60;
 
 /// Actual prefill time at engines that are `factor` times as fast.
-fn prefill_ms(reading: PrefillWork, factor: f64) -> f64 {
-    support::prefill_ms(reading) / factor
+fn prefill_ms(prefill: PrefillWork, factor: f64) -> f64 {
+    support::prefill_ms(prefill) / factor
 }
 
 /// Estimates learnt from 200 noisy observations of such engines.
@@ -31,18 +31,18 @@
         if number % 10 == 0 {
             known = statistics.estimates();
         }
-        let of = FirstEventInputs {
+        let inputs = FirstEventInputs {
             prefill: PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000),
             tokens_ahead: number * 104_729 % 15_000,
             running: (number % 24) as u32,
         };
-        let ahead_ms = prefill_ms(PrefillWork { tokens: of.tokens_ahead, pairs: 0 }, factor);
-        let actual_ms = 5.0 + prefill_ms(of.prefill, factor) + ahead_ms;
+        let ahead_ms = prefill_ms(PrefillWork { tokens: inputs.tokens_ahead, pairs: 0 }, factor);
+        let actual_ms = 5.0 + prefill_ms(inputs.prefill, factor) + ahead_ms;
         // Up to 10% of noise, and every twentieth request takes four times as long.
         let noise = 0.9 + (number * 31 % 21) as f64 / 100.0;
         let outlier = if number % 20 == 7 { 4.0 } else { 1.0 };
-        statistics.record_first_event(of, actual_ms * noise * outlier, &known);
-        statistics.record_event_gap(of.running, 20.0 / factor, &known);
+        statistics.record_first_event(inputs, actual_ms * noise * outlier, &known);
+        statistics.record_event_gap(inputs.running, 20.0 / factor, &known);
     }
     statistics.estimates()
 }
@@ -60,7 +60,7 @@
         Self { free_at_ms: vec![0.0; count], cached_sessions: vec![Vec::new(); count], factor }
     }
 
-    fn reading(&self, engine: usize, session: u64, tokens: u64) -> PrefillWork {
+    fn prefill(&self, engine: usize, session: u64, tokens: u64) -> PrefillWork {
         let cached = if self.cached_sessions[engine].contains(&session) { tokens / 2 } else { 0 };
         PrefillWork::of_uncached(cached, tokens - cached)
     }
@@ -68,7 +68,7 @@
     /// Time from now until the engine would start to respond.
     fn start_delay_ms(&self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
         let wait_ms = (self.free_at_ms[engine] - now_ms).max(0.0);
-        wait_ms + prefill_ms(self.reading(engine, session, tokens), self.factor)
+        wait_ms + prefill_ms(self.prefill(engine, session, tokens), self.factor)
     }
 
     fn assign(&mut self, engine: usize, session: u64, tokens: u64, now_ms: f64) -> f64 {
@@ -89,7 +89,7 @@
                 requests: 0,
                 prompt_tokens: ((self.free_at_ms[engine] - now_ms).max(0.0) * speed) as u64,
             },
-            reading: Some(self.reading(engine, session, tokens)),
+            reading: Some(self.prefill(engine, session, tokens)),
             slowness: 1.0,
             health: HealthView::default(),
         };
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -147,11 +147,11 @@
     assert_eq!(PrefillWork::of_uncached(6_000, 0), PrefillWork::default());
     assert_eq!(PrefillWork::of_uncached(6_000, 3_000), PrefillWork { tokens: 3_000, pairs: 22_500_000 });
     let estimates = support::typical_statistics().estimates();
-    for (cached, unread) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
-        let reading = PrefillWork::of_uncached(cached, unread);
+    for (cached, uncached) in [(0, 500), (6_000, 3_000), (0, 15_000)] {
+        let prefill = PrefillWork::of_uncached(cached, uncached);
         let (estimated, actual) =
-            (estimates.prefill_ms(reading).expect("known"), support::prefill_ms(reading));
-        assert!((estimated / actual - 1.0).abs() < 0.05, "{estimated} instead of {actual} for {reading:?}");
+            (estimates.prefill_ms(prefill).expect("known"), support::prefill_ms(prefill));
+        assert!((estimated / actual - 1.0).abs() < 0.05, "{estimated} instead of {actual} for {prefill:?}");
     }
 }
 
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -36,9 +36,9 @@
 
 fn quarantine() -> (Arc<Quarantine>, Arc<ArcSwap<Directory>>) {
     let directory: Arc<ArcSwap<Directory>> = Arc::default();
-    let book: Arc<QuarantineRegistry> = Arc::default();
+    let registry: Arc<QuarantineRegistry> = Arc::default();
     let pool = Pool::new(Duration::from_millis(400));
-    let quarantine = Quarantine::new(book, pool, directory.clone(), Arc::default(), Arc::new(NoTrials));
+    let quarantine = Quarantine::new(registry, pool, directory.clone(), Arc::default(), Arc::new(NoTrials));
     (Arc::new(quarantine), directory)
 }
 
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -108,11 +108,11 @@
         let now = Instant::now();
         while self.in_flight.peek().is_some_and(|request| request.completes_at.0 <= now) {
             let Some(request) = self.in_flight.pop() else { return };
-            let reading = PrefillWork::of_uncached(0, request.tokens);
-            let of = FirstEventInputs { prefill: reading, tokens_ahead: 0, running: 0 };
+            let prefill = PrefillWork::of_uncached(0, request.tokens);
+            let inputs = FirstEventInputs { prefill, tokens_ahead: 0, running: 0 };
             let took_ms = (request.completes_at.0 - request.sent_at).as_secs_f64() * 1_000.0;
             let models = &self.gateways[request.gateway];
-            models.record_first_event(&"pool".into(), &request.engine, of, took_ms, now);
+            models.record_first_event(&"pool".into(), &request.engine, inputs, took_ms, now);
         }
     }
 }
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -51,24 +51,25 @@
         let now = Instant::now();
         let models = &self.knowledge.models;
         models.refresh(now);
-        let of =
+        let inputs =
             FirstEventInputs { prefill: PrefillWork::of_uncached(0, TOKENS), tokens_ahead: 0, running: 0 };
         let slowness = models.slowness(engine);
-        let usual_ms = models.estimates(&"pool".into()).first_event_ms(of).expect("a known service");
+        let usual_ms = models.estimates(&"pool".into()).first_event_ms(inputs).expect("a known service");
         let choice = Choice {
             backend: engine.clone(),
             cost_ms: 0.0,
             expected_ms: Some(usual_ms * slowness),
             slowness,
-            reading: of.prefill,
+            reading: inputs.prefill,
             tokens_ahead: 0,
             open_requests: 0,
             failure_share: 0.0,
             candidates: 1,
             chosen_by: "n0".into(),
         };
-        let took_ms = (5.0 + support::prefill_ms(of.prefill)) * factor * self.random.random_range(0.8..1.3);
-        models.record_first_event(&"pool".into(), engine, of, took_ms, now);
+        let took_ms =
+            (5.0 + support::prefill_ms(inputs.prefill)) * factor * self.random.random_range(0.8..1.3);
+        models.record_first_event(&"pool".into(), engine, inputs, took_ms, now);
         choice.is_slow(took_ms)
     }
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -29,8 +29,8 @@
 pub const PLAIN_CALL_MS: f64 = 15.0;
 
 /// Time to prefill a part of a prompt.
-pub fn prefill_ms(reading: PrefillWork) -> f64 {
-    reading.tokens as f64 / TOKENS_PER_MS + reading.pairs as f64 / 1e6 * PAIRS_MS_PER_MILLION
+pub fn prefill_ms(prefill: PrefillWork) -> f64 {
+    prefill.tokens as f64 / TOKENS_PER_MS + prefill.pairs as f64 / 1e6 * PAIRS_MS_PER_MILLION
 }
 
 /// Statistics observed at such engines, without noise.
@@ -43,11 +43,11 @@
     let mut statistics = ServiceStatistics::default();
     let unknown = ServiceEstimates::default();
     for number in 0..300_u64 {
-        let reading = PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000);
+        let prefill = PrefillWork::of_uncached((number % 3) * 500, 1 + number * 7_919 % 20_000);
         let (tokens_ahead, running) = (number * 104_729 % 15_000, (number % 24) as u32);
-        let inputs = FirstEventInputs { prefill: reading, tokens_ahead, running };
+        let inputs = FirstEventInputs { prefill, tokens_ahead, running };
         let ahead_ms = tokens_ahead as f64 / TOKENS_PER_MS;
-        let took_ms = 5.0 + prefill_ms(reading) + ahead_ms + f64::from(running) * running_ms;
+        let took_ms = 5.0 + prefill_ms(prefill) + ahead_ms + f64::from(running) * running_ms;
         statistics.record_first_event(inputs, took_ms, &unknown);
         let gap_ms = EVENT_GAP_MS + f64::from(running) * EVENT_GAP_MS_EACH;
         statistics.record_event_gap(running, gap_ms, &unknown);
