--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -75,7 +75,7 @@
 fn place_in_group(bencher: Bencher<'_, '_>, engines: usize) {
     let directory = support::directory(engines, SLOTS);
     let backend_state = BackendState::default();
-    support::teach(&backend_state.models, support::observed());
+    support::add_peer_statistics(&backend_state.models, support::typical_statistics());
     let prompt = prompt();
     let group = first_group(&directory, &prompt);
     bencher.bench(|| place(&backend_state, &directory, &prompt, group));
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -18,7 +18,7 @@
 
 use crate::forward::{Call, Forwarder};
 use crate::ports::{CallHead, Prompt};
-use crate::quota::{Charge, QuotaBook};
+use crate::quota::{Charge, QuotaLimiter};
 use crate::refusal::Refusal;
 use crate::{startup, stream, unary};
 
@@ -42,7 +42,7 @@
     /// The policy in force.
     pub policy: Arc<ArcSwap<PolicyIndex>>,
     /// Quotas of the tenants.
-    pub quotas: QuotaBook,
+    pub quotas: QuotaLimiter,
     /// Forwards requests to back ends.
     pub forwarder: Arc<Forwarder>,
     /// Notified when peers should be sent this node's state immediately.
@@ -239,9 +239,9 @@
         };
         let charge_deadline = Instant::now() + REPORT_WAIT_LIMIT;
         let charged = loop {
-            let report_sent = self.quotas.next_telling();
+            let report_sent = self.quotas.next_report();
             let charged = self.quotas.charge(tenant, amount, Instant::now());
-            let fits_after_report = matches!(charged, Err(exceeded) if exceeded.fits_when_told);
+            let fits_after_report = matches!(charged, Err(exceeded) if exceeded.fits_after_report);
             if !fits_after_report || Instant::now() >= charge_deadline {
                 break charged;
             }
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Where a request goes next, without a network: the right to another attempt and a back end for it, or neither.
+//! Selection of the next attempt of a request, without a network: a retry from the budget together with a
+//! back end, or neither.
 
 mod support;
 
@@ -31,10 +32,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A dialect and placement that nobody asks here, and trials that are never granted.
-struct Unused;
+/// Stubs: a dialect and a placement that these tests don't use, and trials that are never granted.
+struct StubPorts;
 
-impl Dialect for Unused {
+impl Dialect for StubPorts {
     fn read_call(&self, _: &HeaderMap) -> CallHead {
         CallHead::default()
     }
@@ -51,36 +52,37 @@
 }
 
 #[async_trait]
-impl PlacementPort for Unused {
+impl PlacementPort for StubPorts {
     async fn place(&self, _: &PlacementQuery) -> PlacementOutcome {
         PlacementOutcome::Unanswered
     }
 }
 
 #[async_trait]
-impl TrialPort for Unused {
+impl TrialPort for StubPorts {
     async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
 
-/// A node that knows `engines` engines, and may retry as often as `retries` says.
+/// A node with `engines` engines and a budget of `retries` extra retries.
 fn forwarder(engines: usize, retries: f64) -> Forwarder {
     let directory = Arc::new(ArcSwap::from_pointee(support::directory(engines, 8)));
     let (pool, clock): (Pool, Arc<FleetClock>) = (Pool::new(SECOND), Arc::default());
-    let book: Arc<QuarantineRegistry> = Arc::default();
-    let quarantine = Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), Arc::new(Unused));
+    let registry: Arc<QuarantineRegistry> = Arc::default();
+    let quarantine =
+        Quarantine::new(registry, pool.clone(), directory.clone(), clock.clone(), Arc::new(StubPorts));
     let allowance =
         RetryAllowance { earned_percent: 100, saved_percent: 0, extra: retries, window: SECOND * 10 };
     Forwarder {
         node: "n1".into(),
         zone: "a".into(),
-        dialect: Arc::new(Unused),
+        dialect: Arc::new(StubPorts),
         pool,
         directory,
         backend_state: BackendState::default(),
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
-        placement: Arc::new(Unused),
+        placement: Arc::new(StubPorts),
         demand: DemandTracker::default(),
         rollouts: RolloutRegistry::default(),
         quarantine: Arc::new(quarantine),
@@ -96,7 +98,7 @@
     Call { service: "pool".into(), prompt: None, deadline: call.received + SECOND * 10, ..call }
 }
 
-fn refused() -> FailedAttempt {
+fn refused_attempt() -> FailedAttempt {
     AttemptFailure {
         execution: Execution::NotExecuted,
         response_lost: false,
@@ -109,7 +111,7 @@
     forwarder.retries.available_retries().iter().map(|(_, left)| left).sum()
 }
 
-/// An attempt that runs at one engine, for which another is reserved.
+/// Starts an attempt at one engine and tries to reserve another engine for a failover.
 async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, RetryBlocker>) {
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(forwarder, call).await.expect("an engine");
@@ -125,9 +127,9 @@
     assert_eq!(retries_left(&forwarder), 0.0);
 }
 
-/// Guards against: retries are spent while no engine is there to take them.
+/// Guards against: retries are spent although no engine is available for them.
 #[tokio::test(start_paused = true)]
-async fn without_another_engine_the_retry_goes_back() {
+async fn the_retry_is_returned_when_there_is_no_other_engine() {
     let (forwarder, call) = (forwarder(1, 1.0), call());
     let (mut attempts, _, next) = fail_over(&forwarder, &call).await;
     assert_eq!(next, Err(RetryBlocker::BackEnd));
@@ -137,7 +139,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_retry_no_engine_is_reserved() {
+async fn no_engine_is_reserved_without_retry_budget() {
     let (forwarder, call) = (forwarder(3, 0.0), call());
     while forwarder.retries.take(&call.service, Instant::now()) {}
     let (attempts, _, next) = fail_over(&forwarder, &call).await;
@@ -145,9 +147,10 @@
     assert_eq!(attempts.tried.len(), 1);
 }
 
-/// Guards against: a caller is cut since the engine that was to take its stream over refused it, though the first one is well.
+/// Guards against: a caller's stream is aborted because the engine that should take it over refused it,
+/// although the first engine is healthy.
 #[tokio::test(start_paused = true)]
-async fn a_request_goes_back_to_the_engine_that_it_left_where_the_other_refuses() {
+async fn a_request_returns_to_the_silent_engine_when_the_other_refuses() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let (mut attempts, first, next) = fail_over(&forwarder, &call).await;
@@ -158,19 +161,22 @@
         .expect("the reserved engine");
     assert_ne!(second.backend, first.backend);
     let mut returned = 0;
-    let mut next = attempts.continue_after_failure(&forwarder, &call, &second, refused()).await;
+    let mut next = attempts.continue_after_failure(&forwarder, &call, &second, refused_attempt()).await;
     while let Some(choice) = next {
-        assert_eq!(choice.backend, first.backend, "no third engine, and not the one that refused");
+        assert_eq!(
+            choice.backend, first.backend,
+            "there is no third engine, and the one that refused is not retried"
+        );
         returned += 1;
-        next = attempts.continue_after_failure(&forwarder, &call, &choice, refused()).await;
+        next = attempts.continue_after_failure(&forwarder, &call, &choice, refused_attempt()).await;
     }
     assert_eq!(returned, 3);
     assert_eq!(attempts.tried.len(), 2);
 }
 
-/// An engine that broke off is not asked again: only silence says nothing of it.
+/// An engine that failed the attempt is not retried. Only silence is no evidence of a failure.
 #[tokio::test(start_paused = true)]
-async fn a_request_does_not_go_back_to_an_engine_that_failed() {
+async fn a_request_does_not_return_to_an_engine_that_failed() {
     let (forwarder, call) = (forwarder(2, 5.0), call());
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let mut attempts = Attempts::default();
@@ -178,5 +184,5 @@
     let lost = AttemptFailure::lost("reset").into();
     let second =
         attempts.continue_after_failure(&forwarder, &call, &first, lost).await.expect("the other engine");
-    assert_eq!(attempts.continue_after_failure(&forwarder, &call, &second, refused()).await, None);
+    assert_eq!(attempts.continue_after_failure(&forwarder, &call, &second, refused_attempt()).await, None);
 }
--- a/crates/beamwall-gateway/tests/lives.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -1,5 +1,5 @@
-//! What is known of a back end belongs to one of its lives: it ends with it, and what is still told of it afterwards does not
-//! count for the next.
+//! Observations of a back end belong to one generation of it: they are dropped when its process restarts, and
+//! late reports about the earlier process do not count for the new one.
 
 mod support;
 
@@ -15,8 +15,8 @@
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
-fn life(born_ms: u64) -> Backend {
-    support::life("e1", born_ms)
+fn backend_started_at(born_ms: u64) -> Backend {
+    support::backend_started_at("e1", born_ms)
 }
 
 fn prompt() -> Prompt {
@@ -24,7 +24,7 @@
     Prompt { prompt_tokens: 3_000, output_tokens: 10, parts: vec![part(1), part(2), part(3)] }
 }
 
-/// The only candidate, as the node that places sees it.
+/// The only candidate, as the placement node sees it.
 fn candidate(knowledge: &BackendState, directory: &Directory) -> Candidate {
     let search = Search {
         service: &"pool".into(),
@@ -40,8 +40,8 @@
     candidates.remove(0)
 }
 
-/// Lets a node know all that can be known of a life.
-fn learn(knowledge: &BackendState, id: &BackendId, now: Instant) {
+/// Records every kind of observation about a back end.
+fn record_all(knowledge: &BackendState, id: &BackendId, now: Instant) {
     knowledge.health.note_unreachable(id, now);
     knowledge.prefixes.note_prefill(id, &prompt(), now);
     knowledge.queues.add(id, 4_000.0, now);
@@ -49,37 +49,41 @@
     knowledge.reports.note(&"n2".into(), std::slice::from_ref(id), now);
     let slow = SlownessObservation { logarithms: 8.0, weight: 4.0 };
     knowledge.models.add_report(vec![(id.clone(), slow)], now);
-    tell_loads(knowledge, id);
+    report_loads(knowledge, id);
     knowledge.models.refresh(now);
 }
 
-/// What a peer tells that still knows the life.
-fn tell_loads(knowledge: &BackendState, id: &BackendId) {
+/// Merges a load report from a peer that still lists the back end.
+fn report_loads(knowledge: &BackendState, id: &BackendId) {
     let load = OpenLoad { requests: 7, prompt_tokens: 9_000 };
     knowledge.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_next_life_of_a_back_end_begins_as_if_nothing_were_known() {
+async fn a_restarted_back_end_inherits_no_observations() {
     let knowledge = BackendState::default();
-    support::teach(&knowledge.models, support::observed());
+    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
     let mut directory = Directory::default();
-    directory.replace(DirectorySnapshot { revision: 1, backends: vec![life(1)] }, RemovalCause::Gone);
-    learn(&knowledge, &life(1).id, Instant::now());
+    directory.replace(
+        DirectorySnapshot { revision: 1, backends: vec![backend_started_at(1)] },
+        RemovalCause::Gone,
+    );
+    record_all(&knowledge, &backend_started_at(1).id, Instant::now());
     let before = candidate(&knowledge, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
-    assert_eq!(before.load.requests, 8, "seven were told, one is placed and not told yet");
-    // Its shared parts are assumed kept either way; the request's own part only by the life that read it.
+    assert_eq!(before.load.requests, 8, "seven were reported, one is placed and not reported yet");
+    // The shared parts are assumed cached in either case; the request's own part only at the process that
+    // prefilled it.
     assert_eq!(before.reading.expect("a prompt").tokens, 0);
 
-    let changes = vec![DirectoryChange::Changed(life(2))];
+    let changes = vec![DirectoryChange::Changed(backend_started_at(2))];
     directory.apply(1, DirectoryChanges { revision: 2, changes }, RemovalCause::Gone);
     knowledge.retain_listed(&directory);
-    tell_loads(&knowledge, &life(1).id);
+    report_loads(&knowledge, &backend_started_at(1).id);
     tokio::time::advance(Duration::from_millis(10)).await;
     knowledge.models.refresh(Instant::now());
     let after = candidate(&knowledge, &directory);
-    assert_eq!(after.backend, life(2).id);
+    assert_eq!(after.backend, backend_started_at(2).id);
     assert_eq!((after.load, after.slowness), (OpenLoad::default(), 1.0));
     assert!(!after.health.unreachable && after.health.failure_share == 0.0);
     assert_eq!(after.reading.expect("a prompt").tokens, 1_000);
--- a/crates/beamwall-gateway/tests/losses.rs
+++ b/crates/beamwall-gateway/tests/lost_responses.rs
@@ -1,4 +1,4 @@
-//! Lost answers count against requests only where the back end is known to have ended.
+//! Lost responses count against requests only if the back end is known to have terminated.
 
 mod support;
 
@@ -22,12 +22,12 @@
     assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
     assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
     assert_eq!(losses.mark_terminated(&engine.id), [request("a"), request("b")]);
-    assert_eq!(losses.note(&engine.id, request("c"), now), ProbeAction::Count, "its end is known");
+    assert_eq!(losses.note(&engine.id, request("c"), now), ProbeAction::Count, "its termination is known");
     assert_eq!(losses.mark_terminated(&engine.id), [], "nothing counts twice");
 }
 
 #[test]
-fn a_back_end_that_lives_is_probed_again_at_its_next_loss() {
+fn a_running_back_end_is_probed_again_at_its_next_loss() {
     let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     assert_eq!(losses.note(&engine.id, request("a"), now), ProbeAction::Probe);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_was_lost_long_ago_does_not_count() {
+fn losses_from_long_ago_are_ignored() {
     let losses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
     losses.note(&engine.id, request("a"), now);
@@ -60,6 +60,6 @@
 }
 
 #[test]
-fn one_that_lost_nothing_here_ends_without_a_word() {
+fn a_back_end_without_lost_answers_terminates_without_suspects() {
     assert_eq!(LostResponses::default().mark_terminated(&BackendId::new("i-1")), []);
 }
