--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -1,8 +1,8 @@
 //! Selects a back end: a function from the candidates to the one with the lowest cost.
 //!
 //! A candidate's cost is the expected time until it would start its response, in milliseconds. It consists of
-//! the trained model's estimate for the service, the back end's slowness relative to the service, the wait for
-//! a free slot, the network delay, and a penalty for recent failures.
+//! the trained model's estimate for the service, the back end's slowness relative to the service, the wait
+//! for a free slot, the network delay, and a penalty for recent failures.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -241,8 +241,8 @@
         let charged = loop {
             let report_sent = self.quotas.next_report();
             let charged = self.quotas.charge(tenant, amount, Instant::now());
-            let fits_after_report = matches!(charged, Err(exceeded) if exceeded.fits_after_report);
-            if !fits_after_report || Instant::now() >= charge_deadline {
+            let waits_for_report = matches!(charged, Err(exceeded) if exceeded.fits_after_report);
+            if !waits_for_report || Instant::now() >= charge_deadline {
                 break charged;
             }
             self.peer_notify.notify_one();
--- a/crates/beamwall-gateway/tests/back_end_restart.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -25,7 +25,7 @@
 }
 
 /// The only candidate, as the placement node sees it.
-fn candidate(knowledge: &BackendState, directory: &Directory) -> Candidate {
+fn candidate(backend_state: &BackendState, directory: &Directory) -> Candidate {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -35,41 +35,41 @@
         versions: None,
         by: ChosenBy::Placer,
     };
-    let mut candidates = knowledge.candidates(directory, search);
+    let mut candidates = backend_state.candidates(directory, search);
     assert_eq!(candidates.len(), 1);
     candidates.remove(0)
 }
 
 /// Records every kind of observation about a back end.
-fn record_all(knowledge: &BackendState, id: &BackendId, now: Instant) {
-    knowledge.health.note_unreachable(id, now);
-    knowledge.prefixes.note_prefill(id, &prompt(), now);
-    knowledge.queues.add(id, 4_000.0, now);
-    knowledge.reports.note(&"n1".into(), std::slice::from_ref(id), now);
-    knowledge.reports.note(&"n2".into(), std::slice::from_ref(id), now);
+fn record_all(backend_state: &BackendState, id: &BackendId, now: Instant) {
+    backend_state.health.note_unreachable(id, now);
+    backend_state.prefixes.note_prefill(id, &prompt(), now);
+    backend_state.queues.add(id, 4_000.0, now);
+    backend_state.reports.note(&"n1".into(), std::slice::from_ref(id), now);
+    backend_state.reports.note(&"n2".into(), std::slice::from_ref(id), now);
     let slow = SlownessObservation { logarithms: 8.0, weight: 4.0 };
-    knowledge.models.add_report(vec![(id.clone(), slow)], now);
-    report_loads(knowledge, id);
-    knowledge.models.refresh(now);
+    backend_state.models.add_report(vec![(id.clone(), slow)], now);
+    report_loads(backend_state, id);
+    backend_state.models.refresh(now);
 }
 
 /// Merges a load report from a peer that still lists the back end.
-fn report_loads(knowledge: &BackendState, id: &BackendId) {
+fn report_loads(backend_state: &BackendState, id: &BackendId) {
     let load = OpenLoad { requests: 7, prompt_tokens: 9_000 };
-    knowledge.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
+    backend_state.loads.set_peer(&Reporter::Node("n1".into()), [(id.clone(), load)].into());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_restarted_back_end_inherits_no_observations() {
-    let knowledge = BackendState::default();
-    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
+    let backend_state = BackendState::default();
+    support::add_peer_statistics(&backend_state.models, support::typical_statistics());
     let mut directory = Directory::default();
     directory.replace(
         DirectorySnapshot { revision: 1, backends: vec![backend_started_at(1)] },
         RemovalCause::Gone,
     );
-    record_all(&knowledge, &backend_started_at(1).id, Instant::now());
-    let before = candidate(&knowledge, &directory);
+    record_all(&backend_state, &backend_started_at(1).id, Instant::now());
+    let before = candidate(&backend_state, &directory);
     assert!(before.health.unreachable && before.health.failure_share > 0.0 && before.slowness > 1.5);
     assert_eq!(before.load.requests, 8, "seven were reported, one is placed and not reported yet");
     // The shared parts are assumed cached in either case; the request's own part only at the process that
@@ -78,11 +78,11 @@
 
     let changes = vec![DirectoryChange::Changed(backend_started_at(2))];
     directory.apply(1, DirectoryChanges { revision: 2, changes }, RemovalCause::Gone);
-    knowledge.retain_listed(&directory);
-    report_loads(&knowledge, &backend_started_at(1).id);
+    backend_state.retain_listed(&directory);
+    report_loads(&backend_state, &backend_started_at(1).id);
     tokio::time::advance(Duration::from_millis(10)).await;
-    knowledge.models.refresh(Instant::now());
-    let after = candidate(&knowledge, &directory);
+    backend_state.models.refresh(Instant::now());
+    let after = candidate(&backend_state, &directory);
     assert_eq!(after.backend, backend_started_at(2).id);
     assert_eq!((after.load, after.slowness), (OpenLoad::default(), 1.0));
     assert!(!after.health.unreachable && after.health.failure_share == 0.0);
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -151,70 +151,70 @@
 
 #[test]
 fn failures_decay_so_that_a_back_end_is_tried_again() {
-    let (book, start) = (HealthTracker::default(), Instant::now());
+    let (tracker, start) = (HealthTracker::default(), Instant::now());
     let engine: BackendId = "e".into();
     for _ in 0..20 {
-        book.note_unreachable(&engine, start);
+        tracker.note_unreachable(&engine, start);
     }
-    assert!(book.view(&engine, start).failure_share > 0.9 && book.view(&engine, start).unreachable);
-    let later = book.view(&engine, start + Duration::from_secs(9));
+    assert!(tracker.view(&engine, start).failure_share > 0.9 && tracker.view(&engine, start).unreachable);
+    let later = tracker.view(&engine, start + Duration::from_secs(9));
     assert!(later.failure_share < 0.15 && !later.unreachable);
 }
 
 #[test]
 fn open_work_counts_until_it_ends_and_prompts_until_prefilled() {
-    let book = Arc::new(LoadTracker::default());
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let mut work = book.open(&engine, 500);
-    book.set_peer(
+    let mut work = tracker.open(&engine, 500);
+    tracker.set_peer(
         &Reporter::Node("n1".into()),
         [(engine.clone(), OpenLoad { requests: 2, prompt_tokens: 100 })].into(),
     );
-    assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 600 });
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 3, prompt_tokens: 600 });
     work.start_response();
-    assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 100 });
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 3, prompt_tokens: 100 });
     drop(work);
-    book.set_peer(
+    tracker.set_peer(
         &Reporter::Node("n1".into()),
         [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 7 })].into(),
     );
     // 30% of the newest value and 70% of the previous one.
-    assert_eq!(book.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
-    book.remove_peer(&Reporter::Node("n1".into()));
-    assert_eq!(book.total(&engine), OpenLoad::default());
-    assert!(book.own().is_empty());
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
+    tracker.remove_peer(&Reporter::Node("n1".into()));
+    assert_eq!(tracker.total(&engine), OpenLoad::default());
+    assert!(tracker.own().is_empty());
 }
 
 /// Guards against: in a large deployment under low load, engines with a cached prompt are avoided because a
 /// report that is one second old says that they are prefilling another one.
 #[test]
 fn reported_prompt_tokens_are_averaged_and_decay_without_reports() {
-    let book = LoadTracker::default();
+    let tracker = LoadTracker::default();
     let engine: BackendId = "e".into();
     let peer = Reporter::Node("n1".into());
     for _ in 0..20 {
-        book.set_peer(&peer, [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 1_000 })].into());
+        tracker.set_peer(&peer, [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 1_000 })].into());
     }
-    assert!((980..=1_000).contains(&book.total(&engine).prompt_tokens));
-    book.set_peer(&peer, HashMap::new());
-    let decayed = book.total(&engine);
+    assert!((980..=1_000).contains(&tracker.total(&engine).prompt_tokens));
+    tracker.set_peer(&peer, HashMap::new());
+    let decayed = tracker.total(&engine);
     assert!(decayed.requests == 0 && (600..=700).contains(&decayed.prompt_tokens), "{decayed:?}");
     for _ in 0..30 {
-        book.set_peer(&peer, HashMap::new());
+        tracker.set_peer(&peer, HashMap::new());
     }
-    assert_eq!(book.total(&engine), OpenLoad::default());
+    assert_eq!(tracker.total(&engine), OpenLoad::default());
 }
 
 #[test]
 fn the_sum_for_other_zones_includes_nodes_and_excludes_zones() {
-    let book = Arc::new(LoadTracker::default());
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let _own = book.open(&engine, 10);
+    let _own = tracker.open(&engine, 10);
     let peer_load = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
-    book.set_peer(&Reporter::Node("n1".into()), peer_load(2));
-    book.set_peer(&Reporter::Zone("east".into()), peer_load(40));
-    assert_eq!(book.total(&engine).requests, 43);
-    assert_eq!(book.sum_of_nodes()[&engine].requests, 3);
+    tracker.set_peer(&Reporter::Node("n1".into()), peer_load(2));
+    tracker.set_peer(&Reporter::Zone("east".into()), peer_load(40));
+    assert_eq!(tracker.total(&engine).requests, 43);
+    assert_eq!(tracker.sum_of_nodes()[&engine].requests, 3);
 }
 
 /// Guards against: in a large deployment under low load, a third of the chats are abandoned as silent. A node
@@ -222,18 +222,18 @@
 /// its events.
 #[test]
 fn requests_count_as_answering_after_their_first_event() {
-    let book = Arc::new(LoadTracker::default());
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let waiting = book.open(&engine, 10);
-    assert_eq!(book.responding_requests(&engine), 0);
-    let mut begun = book.open(&engine, 10);
+    let waiting = tracker.open(&engine, 10);
+    assert_eq!(tracker.responding_requests(&engine), 0);
+    let mut begun = tracker.open(&engine, 10);
     begun.start_response();
     begun.start_response();
-    assert_eq!(book.responding_requests(&engine), 1);
+    assert_eq!(tracker.responding_requests(&engine), 1);
     drop(waiting);
-    assert_eq!(book.responding_requests(&engine), 1);
+    assert_eq!(tracker.responding_requests(&engine), 1);
     drop(begun);
-    assert_eq!(book.responding_requests(&engine), 0);
+    assert_eq!(tracker.responding_requests(&engine), 0);
 }
 
 fn prompt(parts: &[u64]) -> Prompt {
@@ -243,18 +243,18 @@
 
 #[test]
 fn prompt_parts_count_as_cached_only_after_cached_parts_and_until_expiry() {
-    let (belief, start) = (PrefixCacheIndex::default(), Instant::now());
+    let (index, start) = (PrefixCacheIndex::default(), Instant::now());
     let engine: BackendId = "e".into();
-    belief.note_prefill(&engine, &prompt(&[1, 2, 3]), start);
-    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
-    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
-    assert_eq!(belief.estimated_cached_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
+    index.note_prefill(&engine, &prompt(&[1, 2, 3]), start);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
+    assert_eq!(index.estimated_cached_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
     assert_eq!(
-        belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)),
+        index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)),
         0
     );
-    belief.retain(|_| false);
-    assert_eq!(belief.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
+    index.retain(|_| false);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
 }
 
 #[test]
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -86,7 +86,7 @@
             }
             let known: Vec<Backend> = directory.backends().cloned().collect();
             assert_eq!(known, snapshot_at(&history, directory.revision()).backends);
-            // Whichever entries have lapsed, no back end listed as draining is used.
+            // Whichever entries have expired, no back end listed as draining is used.
             let service = "model".into();
             let leaving = |used: &Backend| known.iter().any(|one| one.id == used.id && one.draining);
             assert!(!directory.usable(&service).any(leaving));
--- a/crates/beamwall-gateway/tests/directory_staleness.rs
+++ b/crates/beamwall-gateway/tests/directory_staleness.rs
@@ -12,7 +12,7 @@
 /// Number of gateways in one large zone.
 const NODES: u16 = 300;
 /// Number of gateways that watch the store on behalf of the zone.
-const WATCHERS: u16 = 2;
+const SELECTED_NODES: u16 = 2;
 
 fn backend(number: u8) -> Backend {
     Backend {
@@ -42,63 +42,68 @@
 
 #[test]
 fn a_back_end_unreachable_for_long_is_evidence_and_one_that_answers_is_not() {
-    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1, 2]), Instant::now());
+    let (staleness, directory, now) = (StalenessTracker::default(), listed(5, &[1, 2]), Instant::now());
     for tenth in 0..30 {
         let now = now + SECOND * tenth / 10;
-        doubts.note_connect_failure(&"b1".into(), now);
-        doubts.note_connect_failure(&"b2".into(), now);
-        doubts.note_response(&"b2".into());
+        staleness.note_connect_failure(&"b1".into(), now);
+        staleness.note_connect_failure(&"b2".into(), now);
+        staleness.note_response(&"b2".into());
         let expected = (tenth >= 20).then(|| StalenessEvidence::Unreachable("b1".into()));
-        assert_eq!(doubts.reason(&directory, true, now), expected, "after {tenth} tenths of a second");
+        assert_eq!(staleness.reason(&directory, true, now), expected, "after {tenth} tenths of a second");
     }
 }
 
 #[test]
 fn a_back_end_unlisted_or_not_tried_for_long_is_no_evidence() {
-    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    let (staleness, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     for second in 0..4 {
-        doubts.note_connect_failure(&"b1".into(), now + SECOND * second);
-        doubts.note_connect_failure(&"gone".into(), now + SECOND * second);
+        staleness.note_connect_failure(&"b1".into(), now + SECOND * second);
+        staleness.note_connect_failure(&"gone".into(), now + SECOND * second);
     }
-    assert_eq!(doubts.reason(&listed(6, &[2]), true, now + SECOND * 4), None);
-    assert_eq!(doubts.reason(&directory, true, now + SECOND * 60), None);
-    doubts.note_connect_failure(&"b1".into(), now + SECOND * 60);
-    assert_eq!(doubts.reason(&directory, true, now + SECOND * 60), None, "earlier attempts no longer count");
+    assert_eq!(staleness.reason(&listed(6, &[2]), true, now + SECOND * 4), None);
+    assert_eq!(staleness.reason(&directory, true, now + SECOND * 60), None);
+    staleness.note_connect_failure(&"b1".into(), now + SECOND * 60);
+    assert_eq!(
+        staleness.reason(&directory, true, now + SECOND * 60),
+        None,
+        "earlier attempts no longer count"
+    );
 }
 
 /// Reads that find no change are repeated at growing intervals, since a machine that vanished stays listed
 /// for a while.
 #[test]
 fn reads_that_find_no_change_become_rare() {
-    let (doubts, directory, start) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    let (staleness, directory, start) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     let mut read_count = 0;
     for tenth in 0..6_000 {
         let now = start + SECOND * tenth / 10;
-        doubts.note_connect_failure(&"b1".into(), now);
-        if doubts.reason(&directory, true, now).is_some() {
-            doubts.note_reload(false, now);
+        staleness.note_connect_failure(&"b1".into(), now);
+        if staleness.reason(&directory, true, now).is_some() {
+            staleness.note_reload(false, now);
             read_count += 1;
         }
     }
     assert!((8..=16).contains(&read_count), "{read_count} reads in ten minutes");
 }
 
-/// In a large zone the list of one node differs. Only this node and the watchers of the zone read the list.
+/// In a large zone the list of one node differs. Only this node and the selected nodes of the zone read the
+/// list.
 #[test]
-fn only_watchers_and_the_node_that_differs_read_the_list() {
+fn only_selected_nodes_and_the_one_that_differs_read_the_list() {
     let (right, wrong, now) = (listed(5, &[1, 2]), listed(5, &[1]), Instant::now());
     let list_of = |node: u16| if node == NODES - 1 { &wrong } else { &right };
     let reads = |node: u16| {
-        let doubts = StalenessTracker::default();
+        let staleness = StalenessTracker::default();
         for other in (0..NODES).filter(|other| *other != node) {
-            doubts.note_peer(peer(other), 5, list_of(other).digest(), now);
+            staleness.note_peer(peer(other), 5, list_of(other).digest(), now);
         }
         assert_eq!(
-            doubts.reason(list_of(node), node < WATCHERS, now),
+            staleness.reason(list_of(node), node < SELECTED_NODES, now),
             None,
             "changes may still be in transit"
         );
-        doubts.reason(list_of(node), node < WATCHERS, now + SECOND).is_some()
+        staleness.reason(list_of(node), node < SELECTED_NODES, now + SECOND).is_some()
     };
     let reading: Vec<u16> = (0..NODES).filter(|node| reads(*node)).collect();
     assert_eq!(reading, [0, 1, NODES - 1]);
@@ -106,33 +111,33 @@
 
 #[test]
 fn peers_at_other_revisions_or_silent_for_long_are_ignored() {
-    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
-    doubts.note_peer(peer(1), 4, 99, now);
-    doubts.note_peer(peer(2), 6, 99, now);
-    assert_eq!(doubts.reason(&directory, true, now + SECOND), None);
-    doubts.note_peer(peer(3), 5, 99, now);
-    assert_eq!(doubts.reason(&directory, true, now + SECOND), Some(StalenessEvidence::PeersDisagree(1)));
-    assert_eq!(doubts.reason(&directory, true, now + SECOND * 5), None);
+    let (staleness, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    staleness.note_peer(peer(1), 4, 99, now);
+    staleness.note_peer(peer(2), 6, 99, now);
+    assert_eq!(staleness.reason(&directory, true, now + SECOND), None);
+    staleness.note_peer(peer(3), 5, 99, now);
+    assert_eq!(staleness.reason(&directory, true, now + SECOND), Some(StalenessEvidence::PeersDisagree(1)));
+    assert_eq!(staleness.reason(&directory, true, now + SECOND * 5), None);
 }
 
 #[test]
 fn a_list_that_differs_from_the_store_is_read_once() {
-    let (doubts, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
-    doubts.note_store_disagrees();
-    assert_eq!(doubts.reason(&directory, true, now), Some(StalenessEvidence::StoreDisagrees));
-    doubts.note_reload(true, now);
-    assert_eq!(doubts.reason(&directory, true, now + SECOND * 9), None);
+    let (staleness, directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    staleness.note_store_disagrees();
+    assert_eq!(staleness.reason(&directory, true, now), Some(StalenessEvidence::StoreDisagrees));
+    staleness.note_reload(true, now);
+    assert_eq!(staleness.reason(&directory, true, now + SECOND * 9), None);
 }
 
 /// Guards against: a draining back end, which refuses connections as it terminates, is taken for a fault of
 /// the list.
 #[test]
 fn a_draining_back_end_that_refuses_connections_is_no_evidence() {
-    let (doubts, mut directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
+    let (staleness, mut directory, now) = (StalenessTracker::default(), listed(5, &[1]), Instant::now());
     let leaving = DirectoryChange::Changed(Backend { draining: true, ..backend(1) });
     directory.apply(5, DirectoryChanges { revision: 6, changes: vec![leaving] }, RemovalCause::Gone);
     for second in 0..5 {
-        doubts.note_connect_failure(&"b1".into(), now + SECOND * second);
+        staleness.note_connect_failure(&"b1".into(), now + SECOND * second);
     }
-    assert_eq!(doubts.reason(&directory, true, now + SECOND * 5), None);
+    assert_eq!(staleness.reason(&directory, true, now + SECOND * 5), None);
 }
--- a/crates/beamwall-gateway/tests/lost_responses.rs
+++ b/crates/beamwall-gateway/tests/lost_responses.rs
@@ -16,46 +16,52 @@
 
 #[test]
 fn the_first_loss_asks_for_a_probe_and_the_others_wait_for_it() {
-    let losses = LostResponses::default();
+    let lost_responses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
-    assert_eq!(losses.note(&engine.id, request("a"), now), ProbeAction::Probe);
-    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
-    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Wait);
-    assert_eq!(losses.mark_terminated(&engine.id), [request("a"), request("b")]);
-    assert_eq!(losses.note(&engine.id, request("c"), now), ProbeAction::Count, "its termination is known");
-    assert_eq!(losses.mark_terminated(&engine.id), [], "nothing counts twice");
+    assert_eq!(lost_responses.note(&engine.id, request("a"), now), ProbeAction::Probe);
+    assert_eq!(lost_responses.note(&engine.id, request("b"), now), ProbeAction::Wait);
+    assert_eq!(lost_responses.note(&engine.id, request("b"), now), ProbeAction::Wait);
+    assert_eq!(lost_responses.mark_terminated(&engine.id), [request("a"), request("b")]);
+    assert_eq!(
+        lost_responses.note(&engine.id, request("c"), now),
+        ProbeAction::Count,
+        "its termination is known"
+    );
+    assert_eq!(lost_responses.mark_terminated(&engine.id), [], "nothing counts twice");
 }
 
 #[test]
 fn a_running_back_end_is_probed_again_at_its_next_loss() {
-    let losses = LostResponses::default();
+    let lost_responses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
-    assert_eq!(losses.note(&engine.id, request("a"), now), ProbeAction::Probe);
-    losses.finish_probe(&engine.id);
-    assert_eq!(losses.note(&engine.id, request("b"), now), ProbeAction::Probe);
-    assert_eq!(losses.mark_terminated(&engine.id), [request("a"), request("b")]);
+    assert_eq!(lost_responses.note(&engine.id, request("a"), now), ProbeAction::Probe);
+    lost_responses.finish_probe(&engine.id);
+    assert_eq!(lost_responses.note(&engine.id, request("b"), now), ProbeAction::Probe);
+    assert_eq!(lost_responses.mark_terminated(&engine.id), [request("a"), request("b")]);
 }
 
 #[test]
 fn losses_from_long_ago_are_ignored() {
-    let losses = LostResponses::default();
+    let lost_responses = LostResponses::default();
     let (engine, now) = (backend("i-1"), Instant::now());
-    losses.note(&engine.id, request("a"), now);
-    losses.note(&backend("i-2").id, request("b"), now + Duration::from_secs(11));
-    assert_eq!(losses.mark_terminated(&engine.id), []);
+    lost_responses.note(&engine.id, request("a"), now);
+    lost_responses.note(&backend("i-2").id, request("b"), now + Duration::from_secs(11));
+    assert_eq!(lost_responses.mark_terminated(&engine.id), []);
 }
 
 #[test]
 fn memory_is_bounded() {
-    let losses = LostResponses::default();
+    let lost_responses = LostResponses::default();
     let now = Instant::now();
     let names: Vec<String> = (0..2_000).map(|number| format!("i-{number}")).collect();
     for name in &names {
-        losses.note(&backend(name).id, request("a"), now);
-        losses.note(&backend("i-0").id, request(name), now);
+        lost_responses.note(&backend(name).id, request("a"), now);
+        lost_responses.note(&backend("i-0").id, request(name), now);
     }
-    assert!(losses.mark_terminated(&BackendId::new("i-0")).len() <= 256);
-    let kept = names.iter().filter(|name| !losses.mark_terminated(&BackendId::new(name.as_str())).is_empty());
+    assert!(lost_responses.mark_terminated(&BackendId::new("i-0")).len() <= 256);
+    let kept = names
+        .iter()
+        .filter(|name| !lost_responses.mark_terminated(&BackendId::new(name.as_str())).is_empty());
     assert!(kept.count() <= 512);
 }
 
--- a/crates/beamwall-gateway/tests/placement.rs
+++ b/crates/beamwall-gateway/tests/placement.rs
@@ -28,11 +28,11 @@
     Prompt { prompt_tokens: tokens, output_tokens: 10, parts: vec![PromptPart { id: number, tokens }] }
 }
 
-/// The knowledge of a node that has received the engines' statistics.
-fn knowledge() -> BackendState {
-    let knowledge = BackendState::default();
-    support::add_peer_statistics(&knowledge.models, support::typical_statistics());
-    knowledge
+/// State of the back ends at a node that has received the engines' statistics.
+fn backend_state() -> BackendState {
+    let backend_state = BackendState::default();
+    support::add_peer_statistics(&backend_state.models, support::typical_statistics());
+    backend_state
 }
 
 /// Time that an engine needs to prefill a whole prompt.
@@ -41,7 +41,7 @@
 }
 
 fn place(
-    knowledge: &BackendState,
+    backend_state: &BackendState,
     directory: &Directory,
     prompt: &Prompt,
     avoided: &[BackendId],
@@ -56,8 +56,8 @@
         versions: None,
         by: ChosenBy::Placer,
     };
-    let candidates = knowledge.candidates(directory, search);
-    let estimates = knowledge.models.estimates(search.service);
+    let candidates = backend_state.candidates(directory, search);
+    let estimates = backend_state.models.estimates(search.service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
     choose(&candidates, &expectation).expect("an engine").0.backend.clone()
 }
@@ -88,10 +88,10 @@
     assert_eq!(queues.unreported_requests(&engine, now + Duration::from_millis(700)), 1);
     assert_eq!(queues.unreported_requests(&"e1".into(), now), 0);
     // The prompts take no time to prefill, so the engines differ only in their running requests.
-    let (directory, knowledge) = (directory(2), knowledge());
-    let first = place(&knowledge, &directory, &unique_prompt(1, 1), &[]);
-    (0..3).for_each(|_| knowledge.queues.add(&first, 0.0, Instant::now()));
-    assert_ne!(place(&knowledge, &directory, &unique_prompt(1, 2), &[]), first);
+    let (directory, backend_state) = (directory(2), backend_state());
+    let first = place(&backend_state, &directory, &unique_prompt(1, 1), &[]);
+    (0..3).for_each(|_| backend_state.queues.add(&first, 0.0, Instant::now()));
+    assert_ne!(place(&backend_state, &directory, &unique_prompt(1, 2), &[]), first);
 }
 
 /// Whatever requests arrive, the chosen engine is the one that is actually free first.
@@ -99,9 +99,9 @@
 fn the_engine_that_is_free_first_is_chosen() {
     on_seeds(2_000, |random| {
         let engines = random.int_in_range(1..=12_usize)?;
-        let (directory, knowledge) = (directory(engines), BackendState::default());
+        let (directory, backend_state) = (directory(engines), BackendState::default());
         // In this simulation the time to first event depends only on the queued prefill work.
-        support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
+        support::add_peer_statistics(&backend_state.models, support::statistics_with_running_ms(0.0));
         let mut free_at_ms: HashMap<BackendId, f64> = HashMap::new();
         let start = Instant::now();
         for number in 0..random.int_in_range(1..=40_u64)? {
@@ -110,7 +110,7 @@
             let now_ms = now.duration_since(start).as_secs_f64() * 1_000.0;
             let wait_ms =
                 |engine: &BackendId| (free_at_ms.get(engine).copied().unwrap_or(0.0) - now_ms).max(0.0);
-            let chosen = place(&knowledge, &directory, &prompt, &[]);
+            let chosen = place(&backend_state, &directory, &prompt, &[]);
             let shortest_wait_ms =
                 directory.backends().map(|backend| wait_ms(&backend.id)).fold(f64::MAX, f64::min);
             // Queues are known in whole tokens and drain while the test runs.
@@ -120,7 +120,7 @@
                 wait_ms(&chosen)
             );
             let prefill_ms = prefill_ms(u64::from(prompt.prompt_tokens));
-            knowledge.queues.add(&chosen, prefill_ms, now);
+            backend_state.queues.add(&chosen, prefill_ms, now);
             let begin = now_ms + wait_ms(&chosen);
             free_at_ms.insert(chosen, begin + prefill_ms);
         }
@@ -130,9 +130,9 @@
 
 #[test]
 fn avoided_engines_are_not_chosen() {
-    let (directory, knowledge) = (directory(2), knowledge());
+    let (directory, backend_state) = (directory(2), backend_state());
     for number in 0..10 {
-        let chosen = place(&knowledge, &directory, &unique_prompt(100, number), &["e0".into()]);
+        let chosen = place(&backend_state, &directory, &unique_prompt(100, number), &["e0".into()]);
         assert_eq!(chosen.as_str(), "e1");
     }
 }
@@ -164,14 +164,14 @@
 /// request waits behind it.
 #[test]
 fn an_engine_with_a_long_prompt_is_free_later_than_one_with_two_short_ones() {
-    let (directory, knowledge) = (directory(2), knowledge());
+    let (directory, backend_state) = (directory(2), backend_state());
     let now = Instant::now();
     let (long, short): (BackendId, BackendId) = ("e0".into(), "e1".into());
     for (engine, tokens) in [(&long, 20_000), (&short, 10_000), (&short, 10_000)] {
-        knowledge.queues.add(engine, prefill_ms(tokens), now);
+        backend_state.queues.add(engine, prefill_ms(tokens), now);
     }
     for number in 0..10 {
-        assert_eq!(place(&knowledge, &directory, &unique_prompt(500, number), &[]), short);
+        assert_eq!(place(&backend_state, &directory, &unique_prompt(500, number), &[]), short);
     }
 }
 
@@ -179,19 +179,19 @@
 /// crash itself, each one sends several requests there.
 #[test]
 fn an_engine_that_two_nodes_could_not_reach_is_avoided_by_all() {
-    let (directory, knowledge) = (directory(2), knowledge());
+    let (directory, backend_state) = (directory(2), backend_state());
     let (crashed, busy): (BackendId, BackendId) = ("e0".into(), "e1".into());
     let now = Instant::now();
-    knowledge.queues.add(&busy, prefill_ms(10_000), now);
+    backend_state.queues.add(&busy, prefill_ms(10_000), now);
     let prompt = unique_prompt(500, 1);
-    assert_eq!(place(&knowledge, &directory, &prompt, &[]), crashed);
-    knowledge.reports.note(&"n1".into(), std::slice::from_ref(&crashed), now);
+    assert_eq!(place(&backend_state, &directory, &prompt, &[]), crashed);
+    backend_state.reports.note(&"n1".into(), std::slice::from_ref(&crashed), now);
     assert_eq!(
-        place(&knowledge, &directory, &prompt, &[]),
+        place(&backend_state, &directory, &prompt, &[]),
         crashed,
         "the reporting node itself may be partitioned"
     );
-    knowledge.reports.note(&"n2".into(), std::slice::from_ref(&crashed), now);
-    assert_eq!(place(&knowledge, &directory, &prompt, &[]), busy);
-    assert!(!knowledge.reports.is_confirmed(&crashed, now + Duration::from_secs(1)));
+    backend_state.reports.note(&"n2".into(), std::slice::from_ref(&crashed), now);
+    assert_eq!(place(&backend_state, &directory, &prompt, &[]), busy);
+    assert!(!backend_state.reports.is_confirmed(&crashed, now + Duration::from_secs(1)));
 }
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -35,10 +35,10 @@
     directory.groups(&"pool".into()).expect("engines").clone()
 }
 
-fn knowledge() -> BackendState {
-    let knowledge = BackendState::default();
-    support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
-    knowledge
+fn backend_state() -> BackendState {
+    let backend_state = BackendState::default();
+    support::add_peer_statistics(&backend_state.models, support::statistics_with_running_ms(0.0));
+    backend_state
 }
 
 fn unique_prompt(tokens: u32, number: u64) -> Prompt {
@@ -49,7 +49,12 @@
     support::prefill_ms(PrefillWork::of_uncached(0, u64::from(tokens)))
 }
 
-fn place(knowledge: &BackendState, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
+fn place(
+    backend_state: &BackendState,
+    directory: &Directory,
+    prompt: &Prompt,
+    group: EngineGroup,
+) -> BackendId {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -59,12 +64,12 @@
         versions: None,
         by: ChosenBy::Placer,
     };
-    let candidates = knowledge.candidates(directory, search);
-    let estimates = knowledge.models.estimates(search.service);
+    let candidates = backend_state.candidates(directory, search);
+    let estimates = backend_state.models.estimates(search.service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
     let chosen = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
     let prefill_ms = estimates.prefill_ms(PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens)));
-    knowledge.queues.add(&chosen, prefill_ms.expect("known"), Instant::now());
+    backend_state.queues.add(&chosen, prefill_ms.expect("known"), Instant::now());
     chosen
 }
 
@@ -117,10 +122,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn prompts_hardly_wait_when_each_group_has_its_own_placer() {
+async fn prompts_hardly_wait_when_each_group_has_its_own_placement_node() {
     let groups = groups_of(&directory(ENGINES)).in_order(&unique_prompt(1, 1), 1).len();
-    let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| knowledge()).collect())).await;
-    let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| knowledge()).collect())).await;
+    let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| backend_state()).collect())).await;
+    let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| backend_state()).collect())).await;
     println!(
         "p90 of the wait: {grouped_ms:.0} ms in groups, {uncoordinated_ms:.0} ms with five uncoordinated nodes"
     );
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -163,18 +163,18 @@
     };
     let orders = plan(&inputs);
     let at = Instant::now();
-    let mut given: BTreeMap<OrderKey, SubmittedOrder> =
+    let mut submitted: BTreeMap<OrderKey, SubmittedOrder> =
         orders.iter().map(|order| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at))).collect();
     let later = at + Duration::from_secs(60);
-    assert!(orders_due(&orders, &given, &inputs, later).is_empty());
+    assert!(orders_due(&orders, &submitted, &inputs, later).is_empty());
     // The reclaimable back end was reclaimed. It is ordered again after the time that it would have needed to
     // boot.
     let remaining = [supply("a", 0, false)];
     let inputs = ScalingInputs { zones: &remaining, ..inputs };
-    assert!(orders_due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
-    assert_eq!(orders_due(&orders, &given, &inputs, later), [orders[1].clone()]);
-    given.insert(OrderKey::of(&orders[0]), SubmittedOrder::new(5, at));
-    assert_eq!(orders_due(&orders, &given, &inputs, at), [orders[0].clone()]);
+    assert!(orders_due(&orders, &submitted, &inputs, at + Duration::from_secs(5)).is_empty());
+    assert_eq!(orders_due(&orders, &submitted, &inputs, later), [orders[1].clone()]);
+    submitted.insert(OrderKey::of(&orders[0]), SubmittedOrder::new(5, at));
+    assert_eq!(orders_due(&orders, &submitted, &inputs, at), [orders[0].clone()]);
 }
 
 /// Guards against: a zone's reclaimable back ends are reclaimed while no others are available, and the duties
@@ -194,18 +194,21 @@
     let (all, fewer) = ([supply("a", 3, false)], [supply("a", 2, false)]);
     let orders = plan(&inputs(&all));
     let at = Instant::now();
-    let given_now = |order: &CapacityOrder| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at));
-    let mut given: BTreeMap<OrderKey, SubmittedOrder> = orders.iter().map(given_now).collect();
+    let submitted_now = |order: &CapacityOrder| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at));
+    let mut submitted: BTreeMap<OrderKey, SubmittedOrder> = orders.iter().map(submitted_now).collect();
     let soon = at + Duration::from_millis(500);
-    assert!(orders_due(&orders, &given, &inputs(&fewer), soon).is_empty(), "the back ends are still booting");
-    note_usable(&mut given, &service, &all);
-    assert!(orders_due(&orders, &given, &inputs(&all), soon).is_empty());
-    note_usable(&mut given, &service, &fewer);
-    assert_eq!(orders_due(&orders, &given, &inputs(&fewer), soon), [orders[1].clone()]);
+    assert!(
+        orders_due(&orders, &submitted, &inputs(&fewer), soon).is_empty(),
+        "the back ends are still booting"
+    );
+    note_usable(&mut submitted, &service, &all);
+    assert!(orders_due(&orders, &submitted, &inputs(&all), soon).is_empty());
+    note_usable(&mut submitted, &service, &fewer);
+    assert_eq!(orders_due(&orders, &submitted, &inputs(&fewer), soon), [orders[1].clone()]);
     // After the new order, the back end gets time to boot.
-    given.insert(OrderKey::of(&orders[1]), SubmittedOrder::new(orders[1].wanted, soon));
-    note_usable(&mut given, &service, &fewer);
-    assert!(orders_due(&orders, &given, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
+    submitted.insert(OrderKey::of(&orders[1]), SubmittedOrder::new(orders[1].wanted, soon));
+    note_usable(&mut submitted, &service, &fewer);
+    assert!(orders_due(&orders, &submitted, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
 }
 
 /// Guards against: three zones lose their reclaimable engines one after another, six seconds apart, while
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -60,8 +60,9 @@
         let more = work * (1.0 + f64::from(random.int_in_range(0..=50_u32)?) / 10.0);
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         assert!(needed.usual >= needed.standing_in && needed.standing_in >= needed.after_loss);
-        for fullness in [NORMAL_UTILIZATION, SUBSTITUTE_UTILIZATION, AFTER_LOSS_UTILIZATION] {
-            let count = |work| min_back_ends(work, &estimates, SLOTS, OBJECTIVES, fullness).expect("known");
+        for utilization in [NORMAL_UTILIZATION, SUBSTITUTE_UTILIZATION, AFTER_LOSS_UTILIZATION] {
+            let count =
+                |work| min_back_ends(work, &estimates, SLOTS, OBJECTIVES, utilization).expect("known");
             assert!(count(more) >= count(work));
         }
         Ok(())
@@ -99,11 +100,14 @@
     }
     let mut before = NORMAL_UTILIZATION.prefill;
     for count in [30, 60, 100, 160, 1_000, 10_000] {
-        let fullness = normal_utilization(count);
-        assert!(fullness.prefill >= before && fullness.prefill <= 0.6, "{fullness:?} of {count} back ends");
-        before = fullness.prefill;
+        let utilization = normal_utilization(count);
+        assert!(
+            utilization.prefill >= before && utilization.prefill <= 0.6,
+            "{utilization:?} of {count} back ends"
+        );
+        before = utilization.prefill;
         // After the loss of a fifth of the back ends, the remaining ones are below full utilization.
-        assert!(fullness.prefill / 0.8 < 0.8, "{fullness:?} of {count} back ends");
+        assert!(utilization.prefill / 0.8 < 0.8, "{utilization:?} of {count} back ends");
     }
 }
 
@@ -116,9 +120,9 @@
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
-            let fullness = normal_utilization(count);
-            one.running <= f64::from(SLOTS) * fullness.slots
-                && one.prefill_share <= fullness.prefill
+            let utilization = normal_utilization(count);
+            one.running <= f64::from(SLOTS) * utilization.slots
+                && one.prefill_share <= utilization.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -46,22 +46,27 @@
 
 struct Fleet {
     directory: Directory,
-    placer: BackendState,
+    placement_node: BackendState,
     gateways: Vec<EngineModels<Reporter>>,
     in_flight: BinaryHeap<InFlightRequest>,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let placer = BackendState::default();
-        support::add_peer_statistics(&placer.models, support::statistics_with_running_ms(0.0));
+        let placement_node = BackendState::default();
+        support::add_peer_statistics(&placement_node.models, support::statistics_with_running_ms(0.0));
         let new_gateway = |_| {
             let models = EngineModels::default();
             support::add_peer_statistics(&models, support::statistics_with_running_ms(0.0));
             models
         };
         let gateways = (0..GATEWAYS).map(new_gateway).collect();
-        Self { directory: support::directory(ENGINES, SLOTS), placer, gateways, in_flight: BinaryHeap::new() }
+        Self {
+            directory: support::directory(ENGINES, SLOTS),
+            placement_node,
+            gateways,
+            in_flight: BinaryHeap::new(),
+        }
     }
 
     /// Places a request of a gateway, after the gateway has reported its observations.
@@ -72,7 +77,7 @@
         service_time_ms: impl FnOnce(&BackendId, f64) -> f64,
     ) -> BackendId {
         let now = Instant::now();
-        self.placer.models.add_report(self.gateways[gateway].take_unreported(|_| true, now), now);
+        self.placement_node.models.add_report(self.gateways[gateway].take_unreported(|_| true, now), now);
         let parts = vec![PromptPart { id: now.elapsed().as_nanos() as u64, tokens: tokens as u32 }];
         let prompt = Prompt { prompt_tokens: tokens as u32, output_tokens: 10, parts };
         let search = Search {
@@ -84,12 +89,12 @@
             versions: None,
             by: ChosenBy::Placer,
         };
-        let candidates = self.placer.candidates(&self.directory, search);
-        let estimates = self.placer.models.estimates(search.service);
+        let candidates = self.placement_node.candidates(&self.directory, search);
+        let estimates = self.placement_node.models.estimates(search.service);
         let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
         let engine = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
         let prefill_ms = support::prefill_ms(PrefillWork::of_uncached(0, tokens));
-        self.placer.queues.add(&engine, prefill_ms, now);
+        self.placement_node.queues.add(&engine, prefill_ms, now);
         let completes_at =
             now + Duration::from_secs_f64(service_time_ms(&engine, 5.0 + prefill_ms) / 1_000.0);
         let completes_at = std::cmp::Reverse(completes_at);
@@ -135,7 +140,7 @@
         fleet.complete_due();
         if refreshed.elapsed().as_secs_f64() >= REFRESH_S {
             refreshed = Instant::now();
-            fleet.placer.models.refresh(refreshed);
+            fleet.placement_node.models.refresh(refreshed);
         }
         let gateway = random.random_range(0..GATEWAYS);
         let tokens = random.random_range(500..9_000);
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -33,15 +33,15 @@
 const TOKENS: u64 = 4_000;
 
 struct Observer {
-    knowledge: BackendState,
+    backend_state: BackendState,
     random: SmallRng,
 }
 
 impl Observer {
     fn new(seed: u64) -> Self {
-        let knowledge = BackendState::default();
-        support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
-        Self { knowledge, random: SmallRng::seed_from_u64(seed) }
+        let backend_state = BackendState::default();
+        support::add_peer_statistics(&backend_state.models, support::statistics_with_running_ms(0.0));
+        Self { backend_state, random: SmallRng::seed_from_u64(seed) }
     }
 
     /// Simulates a response that takes `factor` times the normal time, with noise, and returns whether it
@@ -49,7 +49,7 @@
     async fn answer(&mut self, engine: &BackendId, factor: f64) -> bool {
         tokio::time::advance(ANSWER_INTERVAL).await;
         let now = Instant::now();
-        let models = &self.knowledge.models;
+        let models = &self.backend_state.models;
         models.refresh(now);
         let inputs =
             FirstEventInputs { prefill: PrefillWork::of_uncached(0, TOKENS), tokens_ahead: 0, running: 0 };
--- a/crates/beamwall-gateway/tests/unreachable_zones.rs
+++ b/crates/beamwall-gateway/tests/unreachable_zones.rs
@@ -1,4 +1,4 @@
-//! Detection of zones that are cut off from this node.
+//! Detection of zones that this node cannot reach.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -36,21 +36,22 @@
 
 #[test]
 fn a_zone_is_cut_off_when_its_nodes_are_silent_and_an_engine_cannot_be_reached() {
-    let (cut, health, reports) =
+    let (unreachable_zones, health, reports) =
         (UnreachableZones::default(), HealthTracker::default(), UnreachableReports::default());
     let (directory, now) = (directory(), Instant::now());
-    let update = |silent: &[&str], now| cut.update(&zones(silent), &directory, &health, &reports, now);
+    let update =
+        |silent: &[&str], now| unreachable_zones.update(&zones(silent), &directory, &health, &reports, now);
     assert!(update(&["east"], now).is_empty(), "perhaps only its nodes are down");
     health.note_unreachable(&"w0".into(), now);
     assert!(update(&["east"], now).is_empty(), "a crashed engine in another zone is no evidence");
     health.note_unreachable(&"e0".into(), now);
     assert!(update(&[], now).is_empty(), "a single engine may have crashed");
     assert_eq!(update(&["east"], now), [ZoneName::new("east")]);
-    assert!(cut.contains(&"east".into()) && !cut.contains(&"west".into()));
+    assert!(unreachable_zones.contains(&"east".into()) && !unreachable_zones.contains(&"west".into()));
     // The engine gets no more requests, so there is no new evidence of it; the zone's silence decides.
     let later = now + Duration::from_secs(3);
     assert!(update(&["east"], later).is_empty(), "the zone is reported only once");
-    assert!(cut.contains(&"east".into()));
+    assert!(unreachable_zones.contains(&"east".into()));
     update(&[], later);
-    assert!(!cut.contains(&"east".into()));
+    assert!(!unreachable_zones.contains(&"east".into()));
 }
