--- a/crates/beamwall-duties/src/checkpoint.rs
+++ b/crates/beamwall-duties/src/checkpoint.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use beamwall_gateway::sizing::Needed;
-use beamwall_gateway::usage::CarriedUsage;
+use beamwall_gateway::usage::UsageCheckpoint;
 use beamwall_model::ServiceName;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
     /// The oldest usage window whose counts are not fixed in the store; `None` while it is unknown.
     pub first_open_window: Option<u64>,
     /// Counts of open windows.
-    pub usage: CarriedUsage,
+    pub usage: UsageCheckpoint,
     /// Number of back ends that each service needed at the last evaluation.
     pub needs: BTreeMap<ServiceName, Needed>,
     /// Capacity orders that were placed, and those for which no capacity was available.
--- a/crates/beamwall-duties/src/orders.rs
+++ b/crates/beamwall-duties/src/orders.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use beamwall_gateway::ports::CapacityOrder;
-use beamwall_gateway::scaling::{GivenOrder, OrderKey};
+use beamwall_gateway::scaling::{OrderKey, SubmittedOrder};
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
@@ -37,7 +37,7 @@
 /// Capacity orders of one term.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
-    placed: BTreeMap<OrderKey, GivenOrder>,
+    placed: BTreeMap<OrderKey, SubmittedOrder>,
     failed: BTreeMap<OrderKey, FailedOrder>,
 }
 
@@ -50,7 +50,7 @@
             if is_exhausted {
                 tracker.failed.insert(key.clone(), FailedOrder { failed_at: now, is_exhausted });
             }
-            tracker.placed.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
+            tracker.placed.extend(wanted.map(|wanted| (key, SubmittedOrder::new(wanted, now))));
         }
         tracker
     }
@@ -70,12 +70,12 @@
     }
 
     /// Returns the orders that were placed.
-    pub fn placed(&self) -> &BTreeMap<OrderKey, GivenOrder> {
+    pub fn placed(&self) -> &BTreeMap<OrderKey, SubmittedOrder> {
         &self.placed
     }
 
     /// Returns the placed orders for updating with their results.
-    pub fn placed_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
+    pub fn placed_mut(&mut self) -> &mut BTreeMap<OrderKey, SubmittedOrder> {
         &mut self.placed
     }
 
@@ -99,7 +99,7 @@
     pub fn record_placed(&mut self, order: &CapacityOrder, now: Instant) {
         let key = OrderKey::of(order);
         self.failed.remove(&key);
-        self.placed.insert(key, GivenOrder::new(order.wanted, now));
+        self.placed.insert(key, SubmittedOrder::new(order.wanted, now));
     }
 
     /// Records that an order failed. Returns whether it failed for lack of capacity and the last attempt did not.
--- a/crates/beamwall-gateway/benches/admission.rs
+++ b/crates/beamwall-gateway/benches/admission.rs
@@ -1,5 +1,5 @@
-//! What it costs each request that nothing tells against to pass the quarantine: on arrival and once it is answered, by the number
-//! of peers whose clocks are heard.
+//! Cost of the quarantine checks for a request without suspicion, on arrival and after completion, by the
+//! number of peers whose clocks are known.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -20,7 +20,7 @@
 
 #[async_trait]
 impl TrialPort for NoTrials {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -33,13 +33,14 @@
 fn unsuspected(bencher: Bencher<'_, '_>, peers: usize) {
     let clock: Arc<FleetClock> = Arc::default();
     for peer in 0..peers {
-        clock.hear(&format!("n{peer}").as_str().into(), SystemTime::now(), beamwall_clock::now());
+        clock.record_peer_time(&format!("n{peer}").as_str().into(), SystemTime::now(), beamwall_clock::now());
     }
     let pool = Pool::new(Duration::from_secs(1));
     let listed = Arc::<ArcSwap<Directory>>::default();
     let quarantine = Quarantine::new(Arc::default(), pool, listed, clock, Arc::new(NoTrials));
     let request = FingerprintHasher::new(None, "a.example", "/chat").finish();
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().build().expect("a current-thread runtime can be built");
     bencher.bench_local(|| {
         let admission = runtime.block_on(quarantine.admit(&request));
         quarantine.note_completed(&request);
--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: how many there may be, and where the next one goes.
+//! The attempts of one request: how many are allowed and which back end the next one uses.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 use beamwall_quarantine::Admission;
 use tokio::time::Instant;
 
-use crate::attempt::{AttemptFailure, Ran};
+use crate::attempt::{AttemptFailure, Execution};
 use crate::failover::FailedAttempt;
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 use crate::refusal::Refusal;
 
-/// Attempts that may fail before anything is sent, beyond those that the route allows.
-const UNSENT_LIMIT: usize = 3;
+/// Attempts that may fail before the request is sent, in addition to the route's attempt limit.
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
-/// Times that a request looks whether it can go back to the back end that it left.
-const MOST_RETURNS: u32 = 3;
-/// Pause before the second such look and each further one.
-const RETURN_PAUSE: Duration = Duration::from_millis(300);
+/// How often a request tries to return to the back end that it abandoned.
+const MAX_RETURNS: u32 = 3;
+/// Delay before each try to return after the first.
+const RETURN_DELAY: Duration = Duration::from_millis(300);
 
-/// What another attempt lacks.
+/// Why no further attempt is possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
-    /// The route, the request or the time that is left allows none.
+pub enum RetryBlocker {
+    /// The route's attempt limit, the request or the remaining time allows no further attempt.
     Attempt,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     Retry,
-    /// No back end would take it.
+    /// No back end is available.
     BackEnd,
 }
 
-impl Missing {
-    /// The word used in logs and metrics.
+impl RetryBlocker {
+    /// The value used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Attempt => "attempt",
@@ -45,31 +45,32 @@
     }
 }
 
-/// The attempts of one request so far.
+/// State of one request's attempts.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Back ends to which it was sent or could not be sent.
+    /// Back ends that the request was sent to or could not be sent to.
     pub tried: Vec<BackendId>,
-    /// Times that it was sent, those that have ended or begun to answer.
+    /// Number of times the request was sent, counting attempts that ended or began to respond.
     pub sent: u32,
     /// The last failure.
     pub last_failure: Option<AttemptFailure>,
-    /// Whether any attempt may have run it.
+    /// Whether any attempt may have executed the request.
     pub may_have_run: bool,
-    /// The back end that was left for its silence alone.
-    left: Option<Choice>,
-    /// Times that the request looked whether it can go back there.
+    /// The back end that was abandoned only because it was silent.
+    abandoned: Option<Choice>,
+    /// Number of tries to return to it.
     returns: u32,
 }
 
 impl Attempts {
-    /// Notes that an attempt began to answer.
-    pub fn begin(&mut self) {
+    /// Records that an attempt began to respond.
+    pub fn note_response_started(&mut self) {
         self.sent += 1;
     }
 
-    /// Notes an attempt that failed before it began to answer, and gives where the request goes next.
-    pub async fn go_on(
+    /// Records an attempt that failed before it began to respond, and returns the choice for the next
+    /// attempt.
+    pub async fn continue_after_failure(
         &mut self,
         forwarder: &Forwarder,
         call: &Call,
@@ -77,22 +78,28 @@
         failed: FailedAttempt,
     ) -> Option<Choice> {
         let FailedAttempt { failure, next } = failed;
-        if failure.begun {
-            forwarder.record_run(call);
+        if failure.has_started {
+            forwarder.record_usage(call);
         }
-        self.fail(forwarder, call, &choice.backend, failure);
+        self.record_failure(forwarder, call, &choice.backend, failure);
         self.next_choice(forwarder, call, choice, next).await
     }
 
-    fn fail(&mut self, forwarder: &Forwarder, call: &Call, backend: &BackendId, failure: AttemptFailure) {
+    fn record_failure(
+        &mut self,
+        forwarder: &Forwarder,
+        call: &Call,
+        backend: &BackendId,
+        failure: AttemptFailure,
+    ) {
         self.sent += u32::from(failure.sent);
-        if failure.sent && failure.ran == Ran::No {
-            forwarder.knowledge.health.note_refused(backend, Instant::now());
+        if failure.sent && failure.execution == Execution::NotExecuted {
+            forwarder.backend_state.health.note_refused(backend, Instant::now());
         }
         self.note(forwarder, call, backend, failure);
     }
 
-    /// Notes and logs the failure of an attempt, also of one that had begun to answer.
+    /// Records and logs a failed attempt, including one that had begun to respond.
     pub(crate) fn note(
         &mut self,
         forwarder: &Forwarder,
@@ -100,41 +107,42 @@
         backend: &BackendId,
         failure: AttemptFailure,
     ) {
-        if failure.answer_lost {
+        if failure.response_lost {
             forwarder.quarantine.note_lost(call.fingerprint, backend);
         }
         emit(&AttemptFailed {
             request: call.log_id(),
             fingerprint: call.fingerprint.to_string(),
             backend: backend.to_string(),
-            ran: failure.ran.as_str().to_owned(),
+            ran: failure.execution.as_str().to_owned(),
             reason: failure.reason.clone(),
         });
-        self.may_have_run |= failure.ran == Ran::Maybe;
+        self.may_have_run |= failure.execution == Execution::MaybeExecuted;
         self.last_failure = Some(failure);
     }
 
-    /// Whether the request may be sent once more where it has been `sent` so often: the route allows it, there is time, the
-    /// request may run again, and back ends have not ended under it.
+    /// Whether a request that was sent `sent` times may be sent again: the route allows it, time remains,
+    /// repeating the request is safe, and the request is not quarantined.
     fn allows_another(&self, forwarder: &Forwarder, call: &Call, sent: u32) -> bool {
         let limit = call.attempt_limit();
-        let is_within_limit = sent < limit && self.tried.len() < UNSENT_LIMIT + limit as usize;
-        is_within_limit && self.may_repeat(forwarder, call)
+        let is_within_limit = sent < limit && self.tried.len() < MAX_UNSENT_ATTEMPTS + limit as usize;
+        is_within_limit && self.may_resend(forwarder, call)
     }
 
-    fn may_repeat(&self, forwarder: &Forwarder, call: &Call) -> bool {
+    fn may_resend(&self, forwarder: &Forwarder, call: &Call) -> bool {
         let is_held = call.admission == Admission::Normal && forwarder.quarantine.is_held(&call.fingerprint);
         let may_run_again = call.route.kind.is_idempotent() || !self.may_have_run;
         !is_held && may_run_again && !call.remaining().is_zero()
     }
 
-    /// The first back end.
+    /// Chooses the back end of the first attempt.
     pub async fn first_choice(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
         self.choose(forwarder, call, Vec::new()).await
     }
 
-    /// Where a request goes whose attempt at `choice` is over: to the back end that is `reserved` where that one was silent, to one
-    /// that was not tried, or back to the one that was left for its silence.
+    /// Returns the choice that follows an attempt at `choice`: the `reserved` back end if `choice` was
+    /// silent, otherwise one that was not tried yet, otherwise the back end that was abandoned for being
+    /// silent.
     pub(crate) async fn next_choice(
         &mut self,
         forwarder: &Forwarder,
@@ -143,32 +151,33 @@
         reserved: Option<Choice>,
     ) -> Option<Choice> {
         if reserved.is_some() {
-            self.left = Some(choice.clone());
+            self.abandoned = Some(choice.clone());
             return reserved;
         }
         match self.reserve(forwarder, call, self.sent, Vec::new()).await {
             Ok(choice) => Some(choice),
-            Err(_) => self.return_to_left(forwarder, call).await,
+            Err(_) => self.return_to_abandoned(forwarder, call).await,
         }
     }
 
-    /// Takes the right to another attempt, out of the retry budget from the second on, and a back end for it that is none of
-    /// `avoided`; or neither. `sent`: how often the request has been sent.
+    /// Reserves a further attempt together with a back end that is not in `avoided`, or neither. From the
+    /// second attempt on it is charged to the retry budget. `sent` is the number of times the request was
+    /// sent.
     pub async fn reserve(
         &mut self,
         forwarder: &Forwarder,
         call: &Call,
         sent: u32,
         avoided: Vec<BackendId>,
-    ) -> Result<Choice, Missing> {
+    ) -> Result<Choice, RetryBlocker> {
         if !self.allows_another(forwarder, call, sent) {
-            return Err(Missing::Attempt);
+            return Err(RetryBlocker::Attempt);
         }
         let retry = match sent {
             0 => None,
-            _ => Some(forwarder.retries.reserve(&call.service, Instant::now()).ok_or(Missing::Retry)?),
+            _ => Some(forwarder.retries.reserve(&call.service, Instant::now()).ok_or(RetryBlocker::Retry)?),
         };
-        let choice = self.choose(forwarder, call, avoided).await.ok_or(Missing::BackEnd)?;
+        let choice = self.choose(forwarder, call, avoided).await.ok_or(RetryBlocker::BackEnd)?;
         if let Some(retry) = retry {
             retry.spend();
         }
@@ -187,35 +196,37 @@
         Some(choice)
     }
 
-    /// Goes back to the back end that was left for its silence where the one asked in its place did not take the request: it is no
-    /// further one, and may be well again. Where it refuses too, or no retry is left, both may change soon.
-    async fn return_to_left(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
-        let left = self.left.clone()?;
-        while self.returns < MOST_RETURNS {
+    /// Returns to the back end that was abandoned for being silent if its replacement refused the request.
+    /// This is not an additional back end, and it may have recovered. While the replacement still refuses or
+    /// the retry budget is empty, it tries again after a delay, since either may change soon.
+    async fn return_to_abandoned(&mut self, forwarder: &Forwarder, call: &Call) -> Option<Choice> {
+        let abandoned = self.abandoned.clone()?;
+        while self.returns < MAX_RETURNS {
             if self.returns > 0 {
-                running::sleep(RETURN_PAUSE).await;
+                running::sleep(RETURN_DELAY).await;
             }
             self.returns += 1;
-            if !self.may_return(forwarder, call, &left.backend) {
+            if !self.may_return(forwarder, call, &abandoned.backend) {
                 return None;
             }
             if let Some(retry) = forwarder.retries.reserve(&call.service, Instant::now()) {
                 retry.spend();
-                forwarder.note_chosen(call, &left);
-                return Some(left);
+                forwarder.note_chosen(call, &abandoned);
+                return Some(abandoned);
             }
         }
         None
     }
 
-    fn may_return(&self, forwarder: &Forwarder, call: &Call, left: &BackendId) -> bool {
-        let was_refused = self.last_failure.as_ref().is_some_and(|failure| failure.ran == Ran::No);
+    fn may_return(&self, forwarder: &Forwarder, call: &Call, abandoned: &BackendId) -> bool {
+        let was_refused =
+            self.last_failure.as_ref().is_some_and(|failure| failure.execution == Execution::NotExecuted);
         let directory = forwarder.directory.load();
-        let is_usable = directory.get(left).is_some_and(|listed| !listed.draining);
-        was_refused && is_usable && self.may_repeat(forwarder, call)
+        let is_usable = directory.get(abandoned).is_some_and(|listed| !listed.draining);
+        was_refused && is_usable && self.may_resend(forwarder, call)
     }
 
-    /// The final answer after the last failure.
+    /// The refusal that is returned to the caller after the last failure.
     pub fn refusal(&self, call: &Call) -> Refusal {
         let reason = match &self.last_failure {
             Some(failure) => failure.reason.clone(),
@@ -224,7 +235,7 @@
         let timed_out = call.remaining().is_zero();
         match (self.may_have_run, timed_out) {
             (true, true) => Refusal::TimedOut,
-            (true, false) => Refusal::AnswerLost(reason),
+            (true, false) => Refusal::ResponseLost(reason),
             (false, true) => Refusal::TooLate,
             (false, false) => Refusal::NotRun(reason),
         }
--- a/crates/beamwall-gateway/src/demand.rs
+++ b/crates/beamwall-gateway/src/demand.rs
@@ -1,8 +1,8 @@
-//! How much work callers ask for: what the number of back ends is planned from.
+//! Demand: how much work callers request, from which the number of back ends is planned.
 //!
-//! Work is noted when a request arrives, whether or not it is served in time, so the demand stays true while
-//! engines are overloaded. It is counted in tokens and events, so that what is known of the engines' speed may
-//! change. Nodes tell each other their own.
+//! Work is recorded when a request arrives, whether or not it is served in time, so the demand stays correct
+//! while engines are overloaded. It is counted in tokens and events rather than in time, so that it stays
+//! valid when the estimates of the engines' speed change. Each node reports its own demand to its peers.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,18 +13,18 @@
 
 use crate::reporter::Reporter;
 
-/// Events assumed of a route whose streams have not ended yet.
-const USUAL_EVENTS: f64 = 20.0;
-/// Weight of the newest stream in a route's usual number of events.
-const EVENTS_WEIGHT: f64 = 0.1;
-/// Time over which demand is averaged.
-const AVERAGED_OVER: Duration = Duration::from_secs(2);
+/// Number of events assumed for a route before any of its streams has ended.
+const DEFAULT_EVENTS_PER_STREAM: f64 = 20.0;
+/// Weight of the newest stream in the moving average of a route's events per stream.
+const EVENTS_EWMA_WEIGHT: f64 = 0.1;
+/// Time constant of the moving average of demand.
+const AVERAGING_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Default)]
 struct Meter {
-    /// What arrived in the period that runs.
+    /// Work that arrived in the current period.
     pending: Workload,
-    /// The mean of the last periods, a second.
+    /// Moving average per second.
     mean: Workload,
 }
 
@@ -35,37 +35,37 @@
     events_by_route: HashMap<String, f64>,
 }
 
-/// Demand at this node and, as told, at its peers.
+/// Demand at this node and as reported by its peers.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     state: Mutex<State>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a request that has arrived on a route.
-    pub fn note_request(&self, service: &ServiceName, route: &str, reading: PrefillWork) {
+    /// Records a request that arrived on a route.
+    pub fn note_request(&self, service: &ServiceName, route: &str, prefill: PrefillWork) {
         let mut state = self.lock();
-        let events = state.events_by_route.get(route).copied().unwrap_or(USUAL_EVENTS);
+        let events = state.events_by_route.get(route).copied().unwrap_or(DEFAULT_EVENTS_PER_STREAM);
         state.own.entry(service.clone()).or_default().pending +=
-            Workload { requests: 1.0, tokens: reading.tokens as f64, pairs: reading.pairs as f64, events };
+            Workload { requests: 1.0, tokens: prefill.tokens as f64, pairs: prefill.pairs as f64, events };
     }
 
-    /// Notes how many events a stream of a route had.
+    /// Records the number of events of a finished stream.
     pub fn note_events(&self, route: &str, events: u64) {
         let mut state = self.lock();
-        let usual = state.events_by_route.entry(route.to_owned()).or_insert(events as f64);
-        *usual = *usual * (1.0 - EVENTS_WEIGHT) + events as f64 * EVENTS_WEIGHT;
+        let average = state.events_by_route.entry(route.to_owned()).or_insert(events as f64);
+        *average = *average * (1.0 - EVENTS_EWMA_WEIGHT) + events as f64 * EVENTS_EWMA_WEIGHT;
     }
 
-    /// Ends a period of `length` and gives this node's demand by service.
+    /// Closes a period of `length` and returns this node's demand by service.
     pub fn close_period(&self, length: Duration) -> HashMap<ServiceName, Workload> {
         let mut state = self.lock();
         let seconds = length.as_secs_f64().max(1e-3);
-        let weight = 1.0 - (-length.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp();
+        let weight = 1.0 - (-length.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
         let close = |(service, meter): (&ServiceName, &mut Meter)| {
             let newest = std::mem::take(&mut meter.pending) / seconds;
             meter.mean = meter.mean.weighted_mean(newest, weight);
@@ -74,33 +74,33 @@
         state.own.iter_mut().map(close).collect()
     }
 
-    /// Replaces what a peer told before.
+    /// Replaces the demand that a peer reported before.
     pub fn set_peer(&self, peer: &Reporter, demand: HashMap<ServiceName, Workload>) {
         self.lock().peers.insert(peer.clone(), demand);
     }
 
-    /// Forgets a peer that is not alive: its callers go elsewhere.
-    pub fn forget_peer(&self, peer: &Reporter) {
+    /// Removes a peer that is not alive; its callers connect to other nodes.
+    pub fn remove_peer(&self, peer: &Reporter) {
         self.lock().peers.remove(peer);
     }
 
-    /// Demand at this node and all nodes that told their own, by service: told to other zones.
+    /// Demand by service at this node and all nodes that report their own; it is sent to other zones.
     pub fn sum_of_nodes(&self) -> HashMap<ServiceName, Workload> {
         let state = self.lock();
         let mut sum: HashMap<ServiceName, Workload> =
             state.own.iter().map(|(service, meter)| (service.clone(), meter.mean)).collect();
-        let of_nodes = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
-        for (service, work) in of_nodes.flat_map(|(_, demand)| demand) {
+        let node_demand = state.peers.iter().filter(|(peer, _)| matches!(peer, Reporter::Node(_)));
+        for (service, work) in node_demand.flat_map(|(_, demand)| demand) {
             *sum.entry(service.clone()).or_default() += *work;
         }
         sum
     }
 
-    /// Demand for a service at all nodes; `None` before any request.
+    /// Demand for a service at all nodes; `None` before the first request.
     pub fn total(&self, service: &ServiceName) -> Option<Workload> {
         let state = self.lock();
         let own = state.own.get(service).map(|meter| meter.mean);
-        let told = state.peers.values().filter_map(|demand| demand.get(service).copied());
-        own.into_iter().chain(told).reduce(|sum, work| sum + work)
+        let reported = state.peers.values().filter_map(|demand| demand.get(service).copied());
+        own.into_iter().chain(reported).reduce(|sum, work| sum + work)
     }
 }
--- a/crates/beamwall-gateway/src/lib.rs
+++ b/crates/beamwall-gateway/src/lib.rs
@@ -1,34 +1,34 @@
 //! Forwards opaque calls and event streams from callers to back ends.
 //!
-//! Bytes of a request and its answer pass unchanged; what the gateway reads and sets in their heads
-//! goes through the [`Dialect`] port, so this package knows no header by name. The policy says where
-//! a request may go, the [`Directory`] which back ends there are, [`choice`] picks one, for model
-//! requests at the node that does the [`placement`] for all, and [`forward`] carries a request through its attempts. Limits that hold over all nodes stand in
-//! [`quota`]; what is billed in [`usage`]; how many back ends are wanted in [`scaling`].
+//! The bytes of a request and its response pass unchanged. The gateway reads and sets request and response
+//! heads through the [`Dialect`] port, so this package knows no header by name. The policy defines where a
+//! request may go, and the [`Directory`] lists the back ends. [`choice`] selects one of them; for model
+//! requests the placement node does this for all senders (see [`placement`]). [`forward`] and [`attempts`]
+//! take a request through its attempts. Limits that apply across all nodes are in [`quota`], billed requests
+//! in [`usage`], and the number of back ends to order in [`scaling`].
 
 pub mod admission;
 pub mod attempt;
 pub mod attempts;
 pub mod candidates;
 pub mod choice;
-pub mod cut_zones;
 pub mod demand;
 pub mod directory;
 mod directory_log;
+pub mod directory_staleness;
 pub mod event_stream;
 pub mod failover;
 pub mod fleet_clock;
 pub mod forward;
 pub mod handler;
 pub mod health;
-pub mod list_doubts;
 pub mod load;
-pub mod losses;
+pub mod lost_responses;
 pub mod metrics;
 pub mod placement;
 pub mod placement_groups;
 pub mod ports;
-pub mod prefix;
+pub mod prefix_cache;
 pub mod quarantine;
 pub mod quota;
 pub mod refusal;
@@ -39,14 +39,15 @@
 pub mod startup;
 pub mod stream;
 pub mod unary;
+pub mod unreachable_zones;
 pub mod usage;
 
-pub use directory::{Backend, Correction, Directory, Vanishing};
+pub use directory::{Backend, Directory, Reconciliation, RemovalCause};
+pub use directory_staleness::{StalenessEvidence, StalenessTracker};
 pub use handler::{Gateway, GatewayHandler};
-pub use list_doubts::{Doubt, ListDoubts};
-pub use placement::{Choice, PlacementAnswer, PlacementPort, PlacementQuestion};
+pub use placement::{Choice, PlacementOutcome, PlacementPort, PlacementQuery};
 pub use ports::{
-    AnswerHead, CallHead, ControlStore, ControlStoreError, Dialect, DutyError, DutyPort, ForwardHead, Prompt,
-    PromptPart,
+    CallHead, ControlStore, ControlStoreError, Dialect, DutyError, DutyPort, ForwardHead, Prompt, PromptPart,
+    ResponseHead,
 };
 pub use reporter::Reporter;
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end, against what an obviously right chooser would want.
+//! The choice of a back end, and the views of load, health and cached prefixes that it is based on.
 
 mod support;
 
@@ -7,9 +7,9 @@
 
 use beamwall_engine_model::{PrefillWork, ServiceEstimates};
 use beamwall_gateway::choice::{self, Candidate, Chooser, Expectation};
-use beamwall_gateway::health::{HealthBook, HealthView};
-use beamwall_gateway::load::{LoadBook, OpenLoad};
-use beamwall_gateway::prefix::{PrefixBelief, home, shared_tokens};
+use beamwall_gateway::health::{HealthTracker, HealthView};
+use beamwall_gateway::load::{LoadTracker, OpenLoad};
+use beamwall_gateway::prefix_cache::{PrefixCacheIndex, preferred_back_end, shared_tokens};
 use beamwall_gateway::{Prompt, PromptPart, Reporter};
 use beamwall_model::{BackendId, ChoiceStrategy};
 use beamwall_seeds::on_seeds;
@@ -22,19 +22,19 @@
         same_zone: true,
         slots: 128,
         load: OpenLoad::default(),
-        reading: Some(unread(1_000)),
+        reading: Some(uncached(1_000)),
         slowness: 1.0,
         health: HealthView::default(),
     }
 }
 
-fn unread(tokens: u64) -> PrefillWork {
+fn uncached(tokens: u64) -> PrefillWork {
     PrefillWork::of_uncached(0, tokens)
 }
 
-/// Runs with what is expected of the engines that the tests know.
+/// Runs a function with the expectation for the engines of the test support.
 fn with_expectation<T>(run: impl FnOnce(&Expectation<'_>) -> T) -> T {
-    let estimates = support::observed().estimates();
+    let estimates = support::typical_statistics().estimates();
     run(&Expectation { estimates: &estimates, pause_objective_ms: Some(100) })
 }
 
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_wins_until_it_is_busy() {
-    let keeps = Candidate { reading: Some(unread(0)), ..candidate("keeps") };
-    assert_eq!(chosen(&[candidate("other"), keeps.clone()]), "keeps");
-    let busy = Candidate { load: OpenLoad { requests: 10, prompt_tokens: 40_000 }, ..keeps };
+fn an_engine_with_the_prompt_cached_is_chosen_until_it_is_busy() {
+    let cached = Candidate { reading: Some(uncached(0)), ..candidate("cached") };
+    assert_eq!(chosen(&[candidate("other"), cached.clone()]), "cached");
+    let busy = Candidate { load: OpenLoad { requests: 10, prompt_tokens: 40_000 }, ..cached };
     assert_eq!(chosen(&[candidate("other"), busy]), "other");
 }
 
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_usual_share_of_failures_is_not_held_against_a_back_end() {
-    let usual =
+fn a_normal_failure_share_does_not_raise_the_cost() {
+    let normal =
         Candidate { health: HealthView { failure_share: 0.2, unreachable: false }, ..candidate("usual") };
-    assert!((cost_ms(&usual) - cost_ms(&candidate("well"))).abs() < 1e-9);
+    assert!((cost_ms(&normal) - cost_ms(&candidate("healthy"))).abs() < 1e-9);
 }
 
 #[test]
-fn the_choice_is_never_dearer_than_any_other() {
+fn the_choice_never_costs_more_than_any_other() {
     on_seeds(1_000, |random| {
         let count = random.int_in_range(1..=8)?;
         let candidates = (0..count)
@@ -90,7 +90,9 @@
                 Ok(Candidate {
                     same_zone: random.arbitrary()?,
                     load,
-                    reading: random.arbitrary::<bool>()?.then_some(unread(random.int_in_range(0..=30_000)?)),
+                    reading: random
+                        .arbitrary::<bool>()?
+                        .then_some(uncached(random.int_in_range(0..=30_000)?)),
                     slowness: f64::from(random.int_in_range(5..=50_u32)?) / 10.0,
                     ..candidate(&format!("b{number}"))
                 })
@@ -98,7 +100,7 @@
             .collect::<arbtest::arbitrary::Result<Vec<_>>>()?;
         let (best, cost) = choose(&candidates).expect("a candidate");
         assert!(candidates.iter().all(|other| cost_ms(other) >= cost));
-        // Less work at the best never makes it worse.
+        // Less work at the chosen back end never raises its cost.
         let mut idle = best.clone();
         idle.load = OpenLoad::default();
         assert!(cost_ms(&idle) <= cost);
@@ -106,9 +108,9 @@
     });
 }
 
-/// An engine that has quietly turned slow answers, so nothing fails.
+/// An engine that has become slow still responds, so no failure is recorded.
 #[test]
-fn a_slow_engine_is_passed_over_until_the_others_are_busier() {
+fn a_slow_engine_is_avoided_until_the_others_are_busier() {
     let slow = Candidate { slowness: 5.0, ..candidate("slow") };
     let busy =
         |prompt_tokens| Candidate { load: OpenLoad { requests: 3, prompt_tokens }, ..candidate("busy") };
@@ -116,9 +118,9 @@
     assert_eq!(chosen(&[slow, busy(20_000)]), "slow");
 }
 
-/// 20 ms and one more for each running request, against 100 ms.
+/// The event gap is 20 ms plus 1 ms for each running request; the objective is 100 ms.
 #[test]
-fn an_engine_with_pauses_beyond_the_objective_is_passed_over() {
+fn an_engine_with_event_gaps_beyond_the_objective_is_avoided() {
     let load = |requests| OpenLoad { requests, prompt_tokens: 0 };
     let crowded = Candidate { load: load(120), ..candidate("crowded") };
     let reads = Candidate { load: OpenLoad { requests: 60, prompt_tokens: 10_000 }, ..candidate("reads") };
@@ -130,13 +132,13 @@
     let full =
         Candidate { slots: 10, load: OpenLoad { requests: 14, prompt_tokens: 0 }, ..candidate("full") };
     let nearly = Candidate { load: OpenLoad { requests: 9, prompt_tokens: 0 }, ..full.clone() };
-    // Five streams of a second over ten slots, and the tenth running request.
+    // Five queued streams of one second over ten slots, plus the cost of the tenth running request.
     let wait_ms = cost_ms(&full) - cost_ms(&nearly);
     assert!((480.0..540.0).contains(&wait_ms), "{wait_ms}");
 }
 
 #[test]
-fn before_anything_is_known_open_requests_decide() {
+fn open_requests_decide_before_estimates_exist() {
     let nothing = ServiceEstimates::default();
     let expectation = Expectation { estimates: &nothing, pause_objective_ms: None };
     let open =
@@ -148,89 +150,90 @@
 }
 
 #[test]
-fn failures_fade_so_that_a_back_end_is_tried_again() {
-    let (book, start) = (HealthBook::default(), Instant::now());
+fn failures_decay_so_that_a_back_end_is_tried_again() {
+    let (tracker, start) = (HealthTracker::default(), Instant::now());
     let engine: BackendId = "e".into();
     for _ in 0..20 {
-        book.note_unreachable(&engine, start);
+        tracker.note_unreachable(&engine, start);
     }
-    assert!(book.view(&engine, start).failure_share > 0.9 && book.view(&engine, start).unreachable);
-    let later = book.view(&engine, start + Duration::from_secs(9));
+    assert!(tracker.view(&engine, start).failure_share > 0.9 && tracker.view(&engine, start).unreachable);
+    let later = tracker.view(&engine, start + Duration::from_secs(9));
     assert!(later.failure_share < 0.15 && !later.unreachable);
 }
 
 #[test]
-fn open_work_counts_until_it_ends_and_prompts_until_they_are_read() {
-    let book = Arc::new(LoadBook::default());
+fn open_work_counts_until_it_ends_and_prompts_until_prefilled() {
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let mut work = book.open(&engine, 500);
-    book.set_peer(
+    let mut work = tracker.open(&engine, 500);
+    tracker.set_peer(
         &Reporter::Node("n1".into()),
         [(engine.clone(), OpenLoad { requests: 2, prompt_tokens: 100 })].into(),
     );
-    assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 600 });
-    work.begin_answer();
-    assert_eq!(book.total(&engine), OpenLoad { requests: 3, prompt_tokens: 100 });
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 3, prompt_tokens: 600 });
+    work.start_response();
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 3, prompt_tokens: 100 });
     drop(work);
-    book.set_peer(
+    tracker.set_peer(
         &Reporter::Node("n1".into()),
         [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 7 })].into(),
     );
-    // 30% of the newest number and 70% of the one before.
-    assert_eq!(book.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
-    book.forget_peer(&Reporter::Node("n1".into()));
-    assert_eq!(book.total(&engine), OpenLoad::default());
-    assert!(book.own().is_empty());
+    // 30% of the newest value and 70% of the previous one.
+    assert_eq!(tracker.total(&engine), OpenLoad { requests: 1, prompt_tokens: 72 });
+    tracker.remove_peer(&Reporter::Node("n1".into()));
+    assert_eq!(tracker.total(&engine), OpenLoad::default());
+    assert!(tracker.own().is_empty());
 }
 
-/// On a quiet day of a large deployment the engines that kept a prompt were passed over because a telling a
-/// second old said that they read another one.
+/// Guards against: in a large deployment under low load, engines with a cached prompt are avoided because a
+/// report that is one second old says that they are prefilling another one.
 #[test]
-fn told_prompt_tokens_are_averaged_and_fade_when_they_are_told_no_more() {
-    let book = LoadBook::default();
+fn reported_prompt_tokens_are_averaged_and_decay_without_reports() {
+    let tracker = LoadTracker::default();
     let engine: BackendId = "e".into();
     let peer = Reporter::Node("n1".into());
     for _ in 0..20 {
-        book.set_peer(&peer, [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 1_000 })].into());
+        tracker.set_peer(&peer, [(engine.clone(), OpenLoad { requests: 1, prompt_tokens: 1_000 })].into());
     }
-    assert!((980..=1_000).contains(&book.total(&engine).prompt_tokens));
-    book.set_peer(&peer, HashMap::new());
-    let faded = book.total(&engine);
-    assert!(faded.requests == 0 && (600..=700).contains(&faded.prompt_tokens), "{faded:?}");
+    assert!((980..=1_000).contains(&tracker.total(&engine).prompt_tokens));
+    tracker.set_peer(&peer, HashMap::new());
+    let decayed = tracker.total(&engine);
+    assert!(decayed.requests == 0 && (600..=700).contains(&decayed.prompt_tokens), "{decayed:?}");
     for _ in 0..30 {
-        book.set_peer(&peer, HashMap::new());
+        tracker.set_peer(&peer, HashMap::new());
     }
-    assert_eq!(book.total(&engine), OpenLoad::default());
+    assert_eq!(tracker.total(&engine), OpenLoad::default());
 }
 
 #[test]
-fn the_sum_for_other_zones_holds_what_nodes_told_and_not_what_zones_told() {
-    let book = Arc::new(LoadBook::default());
+fn the_sum_for_other_zones_includes_nodes_and_excludes_zones() {
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let _own = book.open(&engine, 10);
-    let told = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
-    book.set_peer(&Reporter::Node("n1".into()), told(2));
-    book.set_peer(&Reporter::Zone("east".into()), told(40));
-    assert_eq!(book.total(&engine).requests, 43);
-    assert_eq!(book.sum_of_nodes()[&engine].requests, 3);
+    let _own = tracker.open(&engine, 10);
+    let peer_load = |requests| [(engine.clone(), OpenLoad { requests, prompt_tokens: 0 })].into();
+    tracker.set_peer(&Reporter::Node("n1".into()), peer_load(2));
+    tracker.set_peer(&Reporter::Zone("east".into()), peer_load(40));
+    assert_eq!(tracker.total(&engine).requests, 43);
+    assert_eq!(tracker.sum_of_nodes()[&engine].requests, 3);
 }
 
-/// On a quiet day of a large deployment a third of the chats were given up on: a node has few streams there,
-/// and an engine from which none is due says nothing by its silence.
+/// Guards against: in a large deployment under low load, a third of the chats are abandoned as silent. A node
+/// has few streams there, and the silence of an engine is no evidence if no stream of the node is waiting for
+/// its events.
 #[test]
-fn an_engine_owes_events_to_the_requests_that_it_has_begun_to_answer() {
-    let book = Arc::new(LoadBook::default());
+fn requests_count_as_answering_after_their_first_event() {
+    let tracker = Arc::new(LoadTracker::default());
     let engine: BackendId = "e".into();
-    let waiting = book.open(&engine, 10);
-    assert_eq!(book.answering(&engine), 0);
-    let mut begun = book.open(&engine, 10);
-    begun.begin_answer();
-    begun.begin_answer();
-    assert_eq!(book.answering(&engine), 1);
+    let waiting = tracker.open(&engine, 10);
+    assert_eq!(tracker.responding_requests(&engine), 0);
+    let mut begun = tracker.open(&engine, 10);
+    begun.start_response();
+    begun.start_response();
+    assert_eq!(tracker.responding_requests(&engine), 1);
     drop(waiting);
-    assert_eq!(book.answering(&engine), 1);
+    assert_eq!(tracker.responding_requests(&engine), 1);
     drop(begun);
-    assert_eq!(book.answering(&engine), 0);
+    assert_eq!(tracker.responding_requests(&engine), 0);
 }
 
 fn prompt(parts: &[u64]) -> Prompt {
@@ -239,33 +242,36 @@
 }
 
 #[test]
-fn parts_count_as_kept_only_behind_kept_ones_and_for_a_while() {
-    let (belief, start) = (PrefixBelief::default(), Instant::now());
+fn prompt_parts_count_as_cached_only_after_cached_parts_and_until_expiry() {
+    let (index, start) = (PrefixCacheIndex::default(), Instant::now());
     let engine: BackendId = "e".into();
-    belief.note_read(&engine, &prompt(&[1, 2, 3]), start);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
-    assert_eq!(belief.kept_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)), 0);
-    belief.retain(|_| false);
-    assert_eq!(belief.kept_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
+    index.note_prefill(&engine, &prompt(&[1, 2, 3]), start);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 9]), start), 200);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[9, 2, 3]), start), 0);
+    assert_eq!(index.estimated_cached_tokens(&"other".into(), &prompt(&[1, 2]), start), 0);
+    assert_eq!(
+        index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start + Duration::from_secs(60)),
+        0
+    );
+    index.retain(|_| false);
+    assert_eq!(index.estimated_cached_tokens(&engine, &prompt(&[1, 2, 3]), start), 0);
 }
 
 #[test]
-fn all_nodes_prefer_the_same_engine_for_a_shared_beginning() {
+fn all_nodes_prefer_the_same_engine_for_a_shared_prefix() {
     let engines: Vec<BackendId> = (0..6).map(|number| BackendId::new(format!("e{number}"))).collect();
-    let mut turned = engines.clone();
-    turned.reverse();
+    let mut reversed = engines.clone();
+    reversed.reverse();
     for id in 0..50 {
         let (one, other) = (prompt(&[7, id, 1_000 + id]), prompt(&[7, id, 2_000 + id]));
-        assert_eq!(home(&one, &engines), home(&other, &turned));
+        assert_eq!(preferred_back_end(&one, &engines), preferred_back_end(&other, &reversed));
         assert_eq!(shared_tokens(&one), 200);
     }
-    assert_eq!(home(&prompt(&[1]), &engines), None, "nothing is shared");
+    assert_eq!(preferred_back_end(&prompt(&[1]), &engines), None, "the prompt has no shared part");
 }
 
 #[test]
-fn the_baselines_take_turns_and_count_requests() {
+fn the_baselines_are_round_robin_and_least_requests() {
     let open = |name: &str, requests: u32| {
         let load = OpenLoad { requests, prompt_tokens: 0 };
         Candidate { load, ..candidate(name) }
--- a/crates/beamwall-gateway/tests/cut_zones.rs
+++ b/crates/beamwall-gateway/tests/unreachable_zones.rs
@@ -1,13 +1,13 @@
-//! Which zones are taken for cut off.
+//! Detection of zones that this node cannot reach.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use beamwall_gateway::cut_zones::CutZones;
-use beamwall_gateway::health::HealthBook;
+use beamwall_gateway::health::HealthTracker;
 use beamwall_gateway::placement::UnreachableReports;
 use beamwall_gateway::ports::DirectorySnapshot;
-use beamwall_gateway::{Backend, Directory, Vanishing};
+use beamwall_gateway::unreachable_zones::UnreachableZones;
+use beamwall_gateway::{Backend, Directory, RemovalCause};
 use beamwall_model::ZoneName;
 use tokio::time::Instant;
 
@@ -26,7 +26,7 @@
     };
     let backends = [("e0", "east"), ("e1", "east"), ("w0", "west")].map(backend).to_vec();
     let mut directory = Directory::default();
-    directory.replace(DirectorySnapshot { revision: 1, backends }, Vanishing::Gone);
+    directory.replace(DirectorySnapshot { revision: 1, backends }, RemovalCause::Gone);
     directory
 }
 
@@ -36,20 +36,22 @@
 
 #[test]
 fn a_zone_is_cut_off_when_its_nodes_are_silent_and_an_engine_cannot_be_reached() {
-    let (cut, health, reports) = (CutZones::default(), HealthBook::default(), UnreachableReports::default());
+    let (unreachable_zones, health, reports) =
+        (UnreachableZones::default(), HealthTracker::default(), UnreachableReports::default());
     let (directory, now) = (directory(), Instant::now());
-    let update = |silent: &[&str], now| cut.update(&zones(silent), &directory, &health, &reports, now);
-    assert!(update(&["east"], now).is_empty(), "its nodes alone may be down");
+    let update =
+        |silent: &[&str], now| unreachable_zones.update(&zones(silent), &directory, &health, &reports, now);
+    assert!(update(&["east"], now).is_empty(), "perhaps only its nodes are down");
     health.note_unreachable(&"w0".into(), now);
-    assert!(update(&["east"], now).is_empty(), "a crashed engine elsewhere says nothing of it");
+    assert!(update(&["east"], now).is_empty(), "a crashed engine in another zone is no evidence");
     health.note_unreachable(&"e0".into(), now);
     assert!(update(&[], now).is_empty(), "a single engine may have crashed");
     assert_eq!(update(&["east"], now), [ZoneName::new("east")]);
-    assert!(cut.contains(&"east".into()) && !cut.contains(&"west".into()));
-    // The engine is not asked any more, so nothing new is heard of it; the zone's silence decides.
+    assert!(unreachable_zones.contains(&"east".into()) && !unreachable_zones.contains(&"west".into()));
+    // The engine gets no more requests, so there is no new evidence of it; the zone's silence decides.
     let later = now + Duration::from_secs(3);
-    assert!(update(&["east"], later).is_empty(), "it is told once");
-    assert!(cut.contains(&"east".into()));
+    assert!(update(&["east"], later).is_empty(), "the zone is reported only once");
+    assert!(unreachable_zones.contains(&"east".into()));
     update(&[], later);
-    assert!(!cut.contains(&"east".into()));
+    assert!(!unreachable_zones.contains(&"east".into()));
 }
