--- a/crates/beamwall-routing/src/admission.rs
+++ b/crates/beamwall-routing/src/admission.rs
@@ -15,9 +15,9 @@
 use tokio::time::Instant;
 
 /// Weight of the newest service time in the estimate.
-const SERVICE_TIME_SMOOTHING: f64 = 0.1;
+const INTERVAL_SMOOTHING: f64 = 0.1;
 /// First estimate of the time between two ends of requests.
-const FIRST_INTERVAL: Duration = Duration::from_millis(50);
+const INITIAL_COMPLETION_INTERVAL: Duration = Duration::from_millis(50);
 /// Fixed point of virtual time.
 const VIRTUAL_SCALE: u64 = 1_000;
 
@@ -60,10 +60,10 @@
     pub deadline: Instant,
 }
 
-type Place = (ServiceClass, u64, u64);
+type QueueKey = (ServiceClass, u64, u64);
 
 #[derive(Debug)]
-struct Waiting {
+struct Waiter {
     admitted: oneshot::Sender<Permit>,
 }
 
@@ -71,12 +71,12 @@
 struct State {
     capacity: usize,
     open: usize,
-    waiting: BTreeMap<Place, Waiting>,
+    waiting: BTreeMap<QueueKey, Waiter>,
     virtual_time: u64,
-    finish_by_tenant: HashMap<TenantName, u64>,
+    virtual_finish_by_tenant: HashMap<TenantName, u64>,
     arrivals: u64,
-    interval: Duration,
-    last_end: Option<Instant>,
+    completion_interval: Duration,
+    last_completion: Option<Instant>,
 }
 
 /// The queue of one service at one node.
@@ -97,7 +97,7 @@
     }
 
     /// Gives the permit up without admitting the next request.
-    fn void(mut self) {
+    fn disarm(mut self) {
         self.queue = None;
     }
 }
@@ -105,7 +105,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(queue) = self.queue.take() {
-            queue.end();
+            queue.release_slot();
         }
     }
 }
@@ -119,10 +119,10 @@
                 open: 0,
                 waiting: BTreeMap::new(),
                 virtual_time: 0,
-                finish_by_tenant: HashMap::new(),
+                virtual_finish_by_tenant: HashMap::new(),
                 arrivals: 0,
-                interval: FIRST_INTERVAL,
-                last_end: None,
+                completion_interval: INITIAL_COMPLETION_INTERVAL,
+                last_completion: None,
             }),
         })
     }
@@ -149,53 +149,57 @@
         request: &AdmissionRequest,
         max_waiting: usize,
     ) -> Result<Permit, AdmissionError> {
-        let (place, admitted) = match self.enter(request, max_waiting)? {
-            Entered::Open => return Ok(Permit::new(self)),
-            Entered::Waiting(place, admitted) => (place, admitted),
+        let (key, admitted) = match self.enqueue(request, max_waiting)? {
+            EnqueueResult::Admitted => return Ok(Permit::new(self)),
+            EnqueueResult::Queued(key, admitted) => (key, admitted),
         };
-        let leave = LeaveOnDrop { queue: self, place };
+        let remove_guard = RemoveOnDrop { queue: self, key };
         let result = tokio::time::timeout_at(request.deadline, admitted).await;
-        drop(leave);
+        drop(remove_guard);
         match result {
             Ok(Ok(permit)) => Ok(permit),
             _ => Err(AdmissionError::TooLate(self.retry_after())),
         }
     }
 
-    fn enter(&self, request: &AdmissionRequest, max_waiting: usize) -> Result<Entered, AdmissionError> {
+    fn enqueue(
+        &self,
+        request: &AdmissionRequest,
+        max_waiting: usize,
+    ) -> Result<EnqueueResult, AdmissionError> {
         let mut state = self.lock();
         if state.open < state.capacity && state.waiting.is_empty() {
             state.open += 1;
             let start = state.charge(request);
             state.virtual_time = state.virtual_time.max(start);
-            return Ok(Entered::Open);
+            return Ok(EnqueueResult::Admitted);
         }
         if state.waiting.len() >= max_waiting {
-            return Err(AdmissionError::QueueFull(state.wait_of(state.waiting.len())));
+            return Err(AdmissionError::QueueFull(state.expected_wait(state.waiting.len())));
         }
         let start = state.charge(request);
         state.arrivals += 1;
-        let place = (request.class, start, state.arrivals);
-        let ahead = state.waiting.range(..place).count();
-        let wait = state.wait_of(ahead);
+        let key = (request.class, start, state.arrivals);
+        let ahead = state.waiting.range(..key).count();
+        let wait = state.expected_wait(ahead);
         if Instant::now() + wait > request.deadline {
             return Err(AdmissionError::TooLate(wait));
         }
         let (admitted, receiver) = oneshot::channel();
-        state.waiting.insert(place, Waiting { admitted });
-        Ok(Entered::Waiting(place, receiver))
+        state.waiting.insert(key, Waiter { admitted });
+        Ok(EnqueueResult::Queued(key, receiver))
     }
 
     fn retry_after(&self) -> Duration {
         let state = self.lock();
-        state.wait_of(state.waiting.len())
+        state.expected_wait(state.waiting.len())
     }
 
-    fn end(self: &Arc<Self>) {
+    fn release_slot(self: &Arc<Self>) {
         {
             let mut state = self.lock();
             state.open = state.open.saturating_sub(1);
-            state.note_end(Instant::now());
+            state.record_completion(Instant::now());
         }
         self.admit_waiting();
     }
@@ -203,42 +207,42 @@
     /// Hands out permits. One whose receiver has gone goes to the next in the queue.
     fn admit_waiting(self: &Arc<Self>) {
         loop {
-            let waiting = {
+            let waiter = {
                 let mut state = self.lock();
                 if state.open >= state.capacity {
                     return;
                 }
-                let Some((place, waiting)) = state.waiting.pop_first() else { return };
+                let Some((key, waiter)) = state.waiting.pop_first() else { return };
                 state.open += 1;
-                state.virtual_time = state.virtual_time.max(place.1);
-                waiting
+                state.virtual_time = state.virtual_time.max(key.1);
+                waiter
             };
-            let unclaimed = waiting.admitted.send(Permit::new(self));
+            let unclaimed = waiter.admitted.send(Permit::new(self));
             if let Err(permit) = unclaimed {
-                permit.void();
+                permit.disarm();
                 self.lock().open -= 1;
             }
         }
     }
 
-    fn leave(&self, place: &Place) {
-        self.lock().waiting.remove(place);
+    fn remove_waiting(&self, key: &QueueKey) {
+        self.lock().waiting.remove(key);
     }
 }
 
-enum Entered {
-    Open,
-    Waiting(Place, oneshot::Receiver<Permit>),
+enum EnqueueResult {
+    Admitted,
+    Queued(QueueKey, oneshot::Receiver<Permit>),
 }
 
-struct LeaveOnDrop<'a> {
+struct RemoveOnDrop<'a> {
     queue: &'a AdmissionQueue,
-    place: Place,
+    key: QueueKey,
 }
 
-impl Drop for LeaveOnDrop<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        self.queue.leave(&self.place);
+        self.queue.remove_waiting(&self.key);
     }
 }
 
@@ -246,24 +250,24 @@
     /// Charges a tenant's virtual time; returns the request's virtual start.
     fn charge(&mut self, request: &AdmissionRequest) -> u64 {
         let work = u64::from(request.tokens.max(1)) * VIRTUAL_SCALE / u64::from(request.weight.max(1));
-        let known = self.finish_by_tenant.get(&request.tenant).copied().unwrap_or(0);
-        let start = known.max(self.virtual_time);
-        self.finish_by_tenant.insert(request.tenant.clone(), start + work);
+        let finish = self.virtual_finish_by_tenant.get(&request.tenant).copied().unwrap_or(0);
+        let start = finish.max(self.virtual_time);
+        self.virtual_finish_by_tenant.insert(request.tenant.clone(), start + work);
         start
     }
 
-    fn note_end(&mut self, now: Instant) {
-        if let Some(last) = self.last_end {
+    fn record_completion(&mut self, now: Instant) {
+        if let Some(last) = self.last_completion {
             let sample = now.duration_since(last).min(Duration::from_secs(5));
-            let smoothed = self.interval.as_secs_f64() * (1.0 - SERVICE_TIME_SMOOTHING)
-                + sample.as_secs_f64() * SERVICE_TIME_SMOOTHING;
-            self.interval = Duration::from_secs_f64(smoothed);
+            let smoothed = self.completion_interval.as_secs_f64() * (1.0 - INTERVAL_SMOOTHING)
+                + sample.as_secs_f64() * INTERVAL_SMOOTHING;
+            self.completion_interval = Duration::from_secs_f64(smoothed);
         }
-        self.last_end = Some(now);
+        self.last_completion = Some(now);
     }
 
     /// Expected wait of a request with `ahead` others before it.
-    fn wait_of(&self, ahead: usize) -> Duration {
-        self.interval * u32::try_from(ahead + 1).unwrap_or(u32::MAX)
+    fn expected_wait(&self, ahead: usize) -> Duration {
+        self.completion_interval * u32::try_from(ahead + 1).unwrap_or(u32::MAX)
     }
 }
--- a/crates/beamwall-routing/src/prefix.rs
+++ b/crates/beamwall-routing/src/prefix.rs
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    clock: u64,
+    use_counter: u64,
     blocks: HashMap<u64, Vec<(BackendId, u64)>>,
 }
 
@@ -61,10 +61,10 @@
     }
 
     /// Notes that an engine computed a prompt.
-    pub fn note_computed(&self, engine: &BackendId, blocks: &[u64]) {
+    pub fn record_computed(&self, engine: &BackendId, blocks: &[u64]) {
         let mut state = self.lock();
-        state.clock += 1;
-        let now = state.clock;
+        state.use_counter += 1;
+        let now = state.use_counter;
         for block in blocks {
             let engines = state.blocks.entry(*block).or_default();
             match engines.iter_mut().find(|(known, _)| known == engine) {
@@ -88,7 +88,7 @@
     }
 
     /// Forgets an engine that is gone.
-    pub fn forget(&self, engine: &BackendId) {
+    pub fn remove_engine(&self, engine: &BackendId) {
         let mut state = self.lock();
         for engines in state.blocks.values_mut() {
             engines.retain(|(known, _)| known != engine);
@@ -98,12 +98,12 @@
 }
 
 fn drop_oldest_half(state: &mut State) {
-    let mut ages: Vec<u64> = state.blocks.values().filter_map(|engines| newest(engines)).collect();
-    ages.sort_unstable();
-    let median = ages.get(ages.len() / 2).copied().unwrap_or(0);
-    state.blocks.retain(|_, engines| newest(engines).is_some_and(|used| used > median));
+    let mut last_uses: Vec<u64> = state.blocks.values().filter_map(|engines| last_used(engines)).collect();
+    last_uses.sort_unstable();
+    let median = last_uses.get(last_uses.len() / 2).copied().unwrap_or(0);
+    state.blocks.retain(|_, engines| last_used(engines).is_some_and(|used| used > median));
 }
 
-fn newest(engines: &[(BackendId, u64)]) -> Option<u64> {
+fn last_used(engines: &[(BackendId, u64)]) -> Option<u64> {
     engines.iter().map(|(_, used)| *used).max()
 }
--- a/crates/beamwall-routing/src/route.rs
+++ b/crates/beamwall-routing/src/route.rs
@@ -82,7 +82,7 @@
     /// This node's zone.
     pub zone: &'a ZoneName,
     /// Number of the request at this node, for the round-robin baseline.
-    pub turn: usize,
+    pub round_robin_index: usize,
     /// Back ends that failed this request before.
     pub excluded: &'a [BackendId],
     /// Prompt tokens believed cached at an engine.
@@ -105,12 +105,12 @@
     let backends = view.of_service(&query.service.name);
     let accepting: Vec<&Arc<BackendView>> =
         backends.iter().filter(|candidate| candidate.accepts_work()).collect();
-    let fresh: Vec<&Arc<BackendView>> = accepting
+    let not_excluded: Vec<&Arc<BackendView>> = accepting
         .iter()
         .copied()
         .filter(|candidate| !query.excluded.contains(&candidate.backend.id))
         .collect();
-    if fresh.is_empty() { accepting } else { fresh }
+    if not_excluded.is_empty() { accepting } else { not_excluded }
 }
 
 /// Whether an engine has the service's model and version loaded. An engine that reports no model
@@ -150,8 +150,8 @@
     }
     let (backend, reason) = match query.service.policy {
         RoutingPolicy::PredictedWait => choose_by_prediction(&loaded, &free, query),
-        RoutingPolicy::LeastRequests => (fewest_requests(&free), RouteReason::LeastOpenRequests),
-        RoutingPolicy::RoundRobin => (free[query.turn % free.len()], RouteReason::RoundRobin),
+        RoutingPolicy::LeastRequests => (engine_with_fewest_requests(&free), RouteReason::LeastOpenRequests),
+        RoutingPolicy::RoundRobin => (free[query.round_robin_index % free.len()], RouteReason::RoundRobin),
     };
     Ok(Route { backend: backend.clone(), reason, predicted_ms: predict_ms(backend, query) })
 }
@@ -165,11 +165,11 @@
         Some(session) if query.service.affinity => choose_for_session(loaded, free, session, query),
         _ => None,
     };
-    for_session.unwrap_or_else(|| (lowest_wait(free, query), RouteReason::LowestPredictedWait))
+    for_session.unwrap_or_else(|| (engine_with_lowest_wait(free, query), RouteReason::LowestPredictedWait))
 }
 
 /// The engine with the fewest requests; `free` is not empty.
-fn fewest_requests<'a>(free: &[&'a Arc<BackendView>]) -> &'a Arc<BackendView> {
+fn engine_with_fewest_requests<'a>(free: &[&'a Arc<BackendView>]) -> &'a Arc<BackendView> {
     let mut best = free[0];
     for candidate in &free[1..] {
         if candidate.requests() < best.requests() {
@@ -199,7 +199,10 @@
     None
 }
 
-fn lowest_wait<'a>(free: &[&'a Arc<BackendView>], query: &RouteQuery<'_>) -> &'a Arc<BackendView> {
+fn engine_with_lowest_wait<'a>(
+    free: &[&'a Arc<BackendView>],
+    query: &RouteQuery<'_>,
+) -> &'a Arc<BackendView> {
     let mut best = free[0];
     let mut best_ms = predict_ms(best, query);
     for candidate in &free[1..] {
@@ -223,7 +226,7 @@
             continue;
         }
         let rank = (candidate.load.open_requests(), candidate.backend.zone != *query.zone);
-        if best.is_none_or(|(open, far, _)| rank < (open, far)) {
+        if best.is_none_or(|(open, other_zone, _)| rank < (open, other_zone)) {
             best = Some((rank.0, rank.1, candidate));
         }
     }
--- a/crates/beamwall-routing/src/tenant_limit.rs
+++ b/crates/beamwall-routing/src/tenant_limit.rs
@@ -19,7 +19,7 @@
 /// Time after which a larger share is taken: longer than a heartbeat takes to reach everyone.
 const RAISE_DELAY: Duration = Duration::from_millis(1_500);
 /// Demand that every node is counted with, so that an idle one can start, as a part of the limit.
-const IDLE_DEMAND_PART: f64 = 0.02;
+const IDLE_DEMAND_FRACTION: f64 = 0.02;
 /// Weight of the newest second in the demand.
 const DEMAND_SMOOTHING: f64 = 0.5;
 
@@ -48,44 +48,44 @@
 }
 
 #[derive(Debug)]
-struct Meter {
+struct RateBucket {
     limit: f64,
     share: f64,
-    raise_to: Option<(f64, Instant)>,
+    pending_raise: Option<(f64, Instant)>,
     available: f64,
     refilled: Instant,
-    asked: f64,
+    requested: f64,
     demand: f64,
 }
 
-impl Meter {
+impl RateBucket {
     fn new(limit: f64, share: f64, now: Instant) -> Self {
         Self {
             limit,
             share,
-            raise_to: None,
+            pending_raise: None,
             available: limit * share,
             refilled: now,
-            asked: 0.0,
+            requested: 0.0,
             demand: 0.0,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        if let Some((share, at)) = self.raise_to
+        if let Some((share, at)) = self.pending_raise
             && now >= at
         {
             self.share = share;
-            self.raise_to = None;
+            self.pending_raise = None;
         }
         let rate = self.limit * self.share;
-        let gained = now.duration_since(self.refilled).as_secs_f64() * rate;
+        let refilled_amount = now.duration_since(self.refilled).as_secs_f64() * rate;
         self.refilled = now;
-        self.available = (self.available + gained).min(rate * BURST_SECONDS);
+        self.available = (self.available + refilled_amount).min(rate * BURST_SECONDS);
     }
 
-    fn take(&mut self, amount: f64, now: Instant) -> Result<(), LimitExceeded> {
-        self.asked += amount;
+    fn consume(&mut self, amount: f64, now: Instant) -> Result<(), LimitExceeded> {
+        self.requested += amount;
         self.refill(now);
         let rate = (self.limit * self.share).max(f64::MIN_POSITIVE);
         // Work larger than a whole burst could never pass; it passes when the bucket is full.
@@ -101,16 +101,16 @@
     fn set_share(&mut self, share: f64, now: Instant) {
         if share <= self.share {
             self.share = share;
-            self.raise_to = None;
+            self.pending_raise = None;
         } else {
-            let at = self.raise_to.map_or(now + RAISE_DELAY, |(_, at)| at);
-            self.raise_to = Some((share, at));
+            let at = self.pending_raise.map_or(now + RAISE_DELAY, |(_, at)| at);
+            self.pending_raise = Some((share, at));
         }
     }
 
     fn close_period(&mut self, period: Duration) -> f64 {
-        let rate = self.asked / period.as_secs_f64().max(1e-3);
-        self.asked = 0.0;
+        let rate = self.requested / period.as_secs_f64().max(1e-3);
+        self.requested = 0.0;
         self.demand = self.demand * (1.0 - DEMAND_SMOOTHING) + rate * DEMAND_SMOOTHING;
         self.demand
     }
@@ -118,8 +118,8 @@
 
 #[derive(Debug)]
 struct Account {
-    tokens: Meter,
-    calls: Meter,
+    tokens: RateBucket,
+    calls: RateBucket,
     open: usize,
 }
 
@@ -141,7 +141,7 @@
 
 impl State {
     /// Demands of all other nodes; those that reported none count as idle.
-    fn others(&self, tenant: &TenantName) -> Vec<Demand> {
+    fn peer_demands(&self, tenant: &TenantName) -> Vec<Demand> {
         let mut others = self.peers.get(tenant).cloned().unwrap_or_default();
         others.resize(self.peer_count.max(others.len()), Demand::default());
         others
@@ -165,7 +165,7 @@
         let now = Instant::now();
         let mut state = self.lock();
         if !state.accounts.contains_key(&tenant.name) {
-            let account = new_account(tenant, &state.others(&tenant.name), now);
+            let account = new_account(tenant, &state.peer_demands(&tenant.name), now);
             state.accounts.insert(tenant.name.clone(), account);
         }
         let Some(account) = state.accounts.get_mut(&tenant.name) else { return Ok(()) };
@@ -175,8 +175,8 @@
             return Err(LimitExceeded::Concurrency(tenant.max_concurrent));
         }
         match work {
-            Work::Tokens(tokens) => account.tokens.take(tokens.into(), now)?,
-            Work::Call => account.calls.take(1.0, now)?,
+            Work::Tokens(tokens) => account.tokens.consume(tokens.into(), now)?,
+            Work::Call => account.calls.consume(1.0, now)?,
         }
         account.open += 1;
         Ok(())
@@ -213,10 +213,11 @@
         state.peer_count = peer_count;
         let tenants: Vec<TenantName> = state.accounts.keys().cloned().collect();
         for tenant in tenants {
-            let others = state.others(&tenant);
+            let others = state.peer_demands(&tenant);
             let own = own.get(&tenant).copied().unwrap_or_default();
             let Some(account) = state.accounts.get_mut(&tenant) else { continue };
-            let (tokens, calls) = both_shares(own, &others, account.tokens.limit, account.calls.limit);
+            let (tokens, calls) =
+                token_and_call_shares(own, &others, account.tokens.limit, account.calls.limit);
             account.tokens.set_share(tokens, now);
             account.calls.set_share(calls, now);
         }
@@ -231,15 +232,15 @@
 fn new_account(tenant: &Tenant, others: &[Demand], now: Instant) -> Account {
     let token_limit = tenant.tokens_per_second as f64;
     let call_limit = tenant.calls_per_second as f64;
-    let (tokens, calls) = both_shares(Demand::default(), others, token_limit, call_limit);
+    let (tokens, calls) = token_and_call_shares(Demand::default(), others, token_limit, call_limit);
     Account {
-        tokens: Meter::new(token_limit, tokens, now),
-        calls: Meter::new(call_limit, calls, now),
+        tokens: RateBucket::new(token_limit, tokens, now),
+        calls: RateBucket::new(call_limit, calls, now),
         open: 0,
     }
 }
 
-fn both_shares(own: Demand, others: &[Demand], token_limit: f64, call_limit: f64) -> (f64, f64) {
+fn token_and_call_shares(own: Demand, others: &[Demand], token_limit: f64, call_limit: f64) -> (f64, f64) {
     let token_demands: Vec<f64> = others.iter().map(|demand| demand.tokens).collect();
     let call_demands: Vec<f64> = others.iter().map(|demand| demand.calls).collect();
     (share(own.tokens, &token_demands, token_limit), share(own.calls, &call_demands, call_limit))
@@ -247,7 +248,7 @@
 
 /// A node's part of a limit. The parts of all nodes sum to one.
 pub fn share(own: f64, others: &[f64], limit: f64) -> f64 {
-    let floor = limit * IDLE_DEMAND_PART;
+    let floor = limit * IDLE_DEMAND_FRACTION;
     let counted = |demand: f64| demand.max(0.0) + floor;
     let total = counted(own) + others.iter().map(|demand| counted(*demand)).sum::<f64>();
     counted(own) / total
--- a/crates/beamwall-routing/tests/admission.rs
+++ b/crates/beamwall-routing/tests/admission.rs
@@ -19,7 +19,10 @@
 }
 
 /// Queues requests while the only slot is taken, then serves them one by one; gives the order.
-async fn order_of(queue: &Arc<AdmissionQueue>, requests: Vec<(String, AdmissionRequest)>) -> Vec<String> {
+async fn admission_order(
+    queue: &Arc<AdmissionQueue>,
+    requests: Vec<(String, AdmissionRequest)>,
+) -> Vec<String> {
     let first =
         queue.admit(&request("blocker", 1, ServiceClass::Interactive, 1), 10_000).await.expect("free");
     let order = Arc::new(Mutex::new(Vec::new()));
@@ -54,7 +57,7 @@
         let class = classes[number % 3];
         (class.to_string(), request("t", 1, class, 10))
     });
-    let order = order_of(&queue, requests.collect()).await;
+    let order = admission_order(&queue, requests.collect()).await;
     assert_eq!(order[..3], ["interactive", "interactive", "interactive"]);
     assert_eq!(order[6..], ["batch", "batch", "batch"]);
 }
@@ -70,7 +73,7 @@
             requests.push(("light".to_owned(), request("light", 1, ServiceClass::Standard, 100)));
         }
     }
-    let order = order_of(&queue, requests).await;
+    let order = admission_order(&queue, requests).await;
     let mut work: BTreeMap<&str, u32> = BTreeMap::new();
     for name in &order[..60] {
         *work.entry(name.as_str()).or_default() += if name == "heavy" { 400 } else { 100 };
@@ -80,12 +83,12 @@
 }
 
 #[tokio::test]
-async fn a_tenant_that_floods_does_not_starve_another() {
+async fn a_flooding_tenant_does_not_starve_another() {
     let queue = AdmissionQueue::new(1);
     let mut requests: Vec<_> =
         (0..200).map(|_| ("flood".to_owned(), request("flood", 1, ServiceClass::Standard, 100))).collect();
     requests.push(("quiet".to_owned(), request("quiet", 1, ServiceClass::Standard, 100)));
-    let order = order_of(&queue, requests).await;
+    let order = admission_order(&queue, requests).await;
     let position = order.iter().position(|name| name == "quiet").expect("served");
     assert!(position <= 2, "the quiet tenant was served as number {position}");
 }
@@ -94,9 +97,9 @@
 async fn a_full_queue_and_a_deadline_that_cannot_be_met_are_refused_at_once() {
     let queue = AdmissionQueue::new(1);
     let _held = queue.admit(&request("a", 1, ServiceClass::Standard, 1), 1).await.expect("free");
-    let begun = Instant::now();
+    let called_at = Instant::now();
     let soon = AdmissionRequest {
-        deadline: begun + Duration::from_millis(1),
+        deadline: called_at + Duration::from_millis(1),
         ..request("a", 1, ServiceClass::Standard, 1)
     };
     assert!(matches!(queue.admit(&soon, 1).await, Err(AdmissionError::TooLate(_))));
@@ -115,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_stops_waiting_gives_its_place_up() {
+async fn a_cancelled_waiter_releases_its_queue_slot() {
     let queue = AdmissionQueue::new(1);
     let held = queue.admit(&request("a", 1, ServiceClass::Standard, 1), 10).await.expect("free");
     for _ in 0..20 {
--- a/crates/beamwall-routing/tests/tenant_limits.rs
+++ b/crates/beamwall-routing/tests/tenant_limits.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn property(input: &mut Unstructured<'_>) -> Result<()> {
+fn shares_sum_to_one(input: &mut Unstructured<'_>) -> Result<()> {
     let nodes = input.int_in_range(1..=12)?;
     let limit = f64::from(input.int_in_range(1..=100_000_u32)?);
     let demands: Vec<f64> =
@@ -45,7 +45,7 @@
 #[test]
 fn shares_sum_to_the_limit() {
     for seed in 1..100_u64 {
-        arbtest(property).seed((seed << 32) | 0x200);
+        arbtest(shares_sum_to_one).seed((seed << 32) | 0x200);
     }
 }
 
@@ -63,8 +63,8 @@
     for _ in 0..seconds {
         for (number, node) in nodes.iter().enumerate() {
             // Uneven: the first node is asked for far more than the others.
-            let asked = if number == 0 { 2_000 } else { 50 };
-            admitted += (0..asked).filter(|_| node.open(&alder, Work::Call).is_ok()).count() as u64;
+            let requested = if number == 0 { 2_000 } else { 50 };
+            admitted += (0..requested).filter(|_| node.open(&alder, Work::Call).is_ok()).count() as u64;
         }
         std::thread::sleep(Duration::from_millis(300));
         for (number, node) in nodes.iter().enumerate() {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn over_the_limit_the_caller_is_told_when_to_come_back() {
+fn a_rejection_over_the_limit_carries_a_retry_delay() {
     let limits = TenantLimits::default();
     let alder = tenant(10);
     let refused = (0..200).find_map(|_| limits.open(&alder, Work::Call).err()).expect("a refusal");
