--- a/crates/beamwall-policy/src/change.rs
+++ b/crates/beamwall-policy/src/change.rs
@@ -16,11 +16,11 @@
     #[derive(Debug, PartialEq, Eq)]
     pub enum ChangeError {
         /// It starts from another version.
-        OtherBase(base: u64, held: u64) {
+        BaseMismatch(base: u64, held: u64) {
             display("the change starts from version {}, version {} is held", base, held)
         }
         /// The result is not the policy that the change was made from.
-        DigestDiffers(version: u64) {
+        DigestMismatch(version: u64) {
             display("the change to version {} gave another policy than it was made from", version)
         }
     }
@@ -35,16 +35,16 @@
     pub version: u64,
     /// Digest of that version ([`TrafficPolicy::digest`]).
     pub digest: u64,
-    routes: PartsChange<Route>,
-    services: PartsChange<Service>,
-    tenants: PartsChange<Tenant>,
+    routes: ListChange<Route>,
+    services: ListChange<Service>,
+    tenants: ListChange<Tenant>,
     caller_limits: CallerLimits,
 }
 
 /// What differs between two lists of parts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "T: Serialize + Deserialize<'de>", serialize = "T: Serialize"))]
-struct PartsChange<T> {
+struct ListChange<T> {
     /// Fingerprints of parts that are gone.
     gone: Vec<u64>,
     /// Parts that are new or changed.
@@ -58,9 +58,9 @@
             base: base.version,
             version: newest.version,
             digest: newest.digest(),
-            routes: PartsChange::between(&base.routes, &newest.routes),
-            services: PartsChange::between(&base.services, &newest.services),
-            tenants: PartsChange::between(&base.tenants, &newest.tenants),
+            routes: ListChange::between(&base.routes, &newest.routes),
+            services: ListChange::between(&base.services, &newest.services),
+            tenants: ListChange::between(&base.tenants, &newest.tenants),
             caller_limits: newest.caller_limits,
         }
     }
@@ -68,7 +68,7 @@
     /// The policy that it leads to.
     pub fn apply(&self, base: &TrafficPolicy) -> Result<TrafficPolicy, ChangeError> {
         if base.version != self.base {
-            return Err(ChangeError::OtherBase(self.base, base.version));
+            return Err(ChangeError::BaseMismatch(self.base, base.version));
         }
         let policy = TrafficPolicy {
             version: self.version,
@@ -80,19 +80,19 @@
         if policy.digest() == self.digest {
             Ok(policy)
         } else {
-            Err(ChangeError::DigestDiffers(self.version))
+            Err(ChangeError::DigestMismatch(self.version))
         }
     }
 }
 
-impl<T> PartsChange<T> {
+impl<T> ListChange<T> {
     /// Equal parts may stand in a list more than once, so they are counted.
     fn between(base: &[Shared<T>], newest: &[Shared<T>]) -> Self {
-        let mut held: HashMap<u64, usize> = HashMap::new();
-        for part in base {
-            *held.entry(part.fingerprint()).or_default() += 1;
+        let mut base_counts: HashMap<u64, usize> = HashMap::new();
+        for item in base {
+            *base_counts.entry(item.fingerprint()).or_default() += 1;
         }
-        let is_new = |part: &&Shared<T>| match held.get_mut(&part.fingerprint()) {
+        let is_new = |item: &&Shared<T>| match base_counts.get_mut(&item.fingerprint()) {
             Some(count) if *count > 0 => {
                 *count -= 1;
                 false
@@ -101,24 +101,24 @@
         };
         let new = newest.iter().filter(is_new).cloned().collect();
         let mut gone: Vec<u64> =
-            held.into_iter().flat_map(|(part, count)| std::iter::repeat_n(part, count)).collect();
+            base_counts.into_iter().flat_map(|(item, count)| std::iter::repeat_n(item, count)).collect();
         gone.sort_unstable();
         Self { gone, new }
     }
 
     fn apply(&self, base: &[Shared<T>]) -> Vec<Shared<T>> {
-        let mut gone: HashMap<u64, usize> = HashMap::new();
-        for part in &self.gone {
-            *gone.entry(*part).or_default() += 1;
+        let mut removed: HashMap<u64, usize> = HashMap::new();
+        for item in &self.gone {
+            *removed.entry(*item).or_default() += 1;
         }
-        let stays = |part: &&Shared<T>| match gone.get_mut(&part.fingerprint()) {
+        let is_kept = |item: &&Shared<T>| match removed.get_mut(&item.fingerprint()) {
             Some(count) if *count > 0 => {
                 *count -= 1;
                 false
             }
             _ => true,
         };
-        base.iter().filter(stays).chain(&self.new).cloned().collect()
+        base.iter().filter(is_kept).chain(&self.new).cloned().collect()
     }
 }
 
@@ -129,24 +129,24 @@
         let routes = self.routes.iter().map(Shared::fingerprint);
         let services = self.services.iter().map(Shared::fingerprint);
         let tenants = self.tenants.iter().map(Shared::fingerprint);
-        let parts = routes.chain(services).chain(tenants).chain([limits.fingerprint(), self.version]);
-        parts.fold(0, u64::wrapping_add)
+        let items = routes.chain(services).chain(tenants).chain([limits.fingerprint(), self.version]);
+        items.fold(0, u64::wrapping_add)
     }
 
     /// The same policy, whose parts are those of `earlier` wherever they are equal.
     pub fn sharing_with(mut self, earlier: &Self) -> Self {
-        share(&mut self.routes, &earlier.routes);
-        share(&mut self.tenants, &earlier.tenants);
+        reuse_equal(&mut self.routes, &earlier.routes);
+        reuse_equal(&mut self.tenants, &earlier.tenants);
         self
     }
 }
 
-fn share<T: PartialEq>(parts: &mut [Shared<T>], earlier: &[Shared<T>]) {
+fn reuse_equal<T: PartialEq>(items: &mut [Shared<T>], earlier: &[Shared<T>]) {
     let by_fingerprint: HashMap<u64, &Shared<T>> =
-        earlier.iter().map(|part| (part.fingerprint(), part)).collect();
-    for part in parts {
-        if let Some(same) = by_fingerprint.get(&part.fingerprint()).filter(|same| **same == part) {
-            *part = (*same).clone();
+        earlier.iter().map(|item| (item.fingerprint(), item)).collect();
+    for item in items {
+        if let Some(equal) = by_fingerprint.get(&item.fingerprint()).filter(|equal| **equal == item) {
+            *item = (*equal).clone();
         }
     }
 }
--- a/crates/beamwall-policy/src/history.rs
+++ b/crates/beamwall-policy/src/history.rs
@@ -7,23 +7,23 @@
 
 /// Versions that are kept: what a busy operator writes within the time that a node may be behind. A version
 /// costs 16 bytes a route beyond its own new routes, since versions share their parts.
-const KEPT_VERSIONS: usize = 32;
+const MAX_VERSIONS: usize = 32;
 
 /// The last versions that a node held, the newest last.
 #[derive(Debug, Default)]
-pub struct PolicyArchive {
+pub struct PolicyHistory {
     versions: Mutex<VecDeque<Arc<TrafficPolicy>>>,
 }
 
-impl PolicyArchive {
+impl PolicyHistory {
     fn lock(&self) -> MutexGuard<'_, VecDeque<Arc<TrafficPolicy>>> {
         self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Keeps a version that is newer than all kept.
-    pub fn keep(&self, policy: Arc<TrafficPolicy>) {
+    pub fn push(&self, policy: Arc<TrafficPolicy>) {
         let mut versions = self.lock();
-        if versions.len() == KEPT_VERSIONS {
+        if versions.len() == MAX_VERSIONS {
             versions.pop_front();
         }
         versions.push_back(policy);
@@ -40,7 +40,9 @@
         let (base, newest) = {
             let versions = self.lock();
             let newest = versions.back()?.clone();
-            let is_base = |kept: &&Arc<TrafficPolicy>| kept.version == version && kept.digest() == digest;
+            let is_base = |candidate: &&Arc<TrafficPolicy>| {
+                candidate.version == version && candidate.digest() == digest
+            };
             (versions.iter().find(is_base).cloned(), newest)
         };
         Some(PolicyChange::between(&base.unwrap_or_default(), &newest))
--- a/crates/beamwall-policy/src/lib.rs
+++ b/crates/beamwall-policy/src/lib.rs
@@ -5,18 +5,18 @@
 //! key. Neither is ever changed: a newer version replaces the whole. A [`PolicyChange`] is what differs
 //! between two versions, and a [`PolicyArchive`] the last versions that a node held.
 
-pub mod archive;
 pub mod change;
+pub mod history;
 pub mod index;
 pub mod route;
 pub mod service;
 pub mod shared;
 pub mod tenant;
 
-pub use archive::PolicyArchive;
 pub use change::{ChangeError, PolicyChange};
+pub use history::PolicyHistory;
 pub use index::{PolicyIndex, TenantRef};
-pub use route::{Route, RouteKind, USUAL_HOLD_LIMIT_MS, USUAL_OBJECTIVE_MS, WeightedService};
+pub use route::{DEFAULT_HOLD_LIMIT_MS, DEFAULT_OBJECTIVE_MS, Route, RouteKind, WeightedService};
 pub use service::{EngineTraits, ScalingLimits, Service};
 pub use shared::Shared;
 pub use tenant::Tenant;
--- a/crates/beamwall-policy/src/route.rs
+++ b/crates/beamwall-policy/src/route.rs
@@ -38,9 +38,9 @@
 }
 
 /// Longest time that requests of a route are held that states none, in milliseconds.
-pub const USUAL_HOLD_LIMIT_MS: u64 = 15_000;
+pub const DEFAULT_HOLD_LIMIT_MS: u64 = 15_000;
 /// Objective of a route that states none, in milliseconds.
-pub const USUAL_OBJECTIVE_MS: u64 = 1_000;
+pub const DEFAULT_OBJECTIVE_MS: u64 = 1_000;
 
 /// A route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -71,12 +71,12 @@
 
 impl Route {
     /// The service for a request, from a number that is spread evenly over requests.
-    pub fn service_for(&self, spread: u64) -> Option<&ServiceName> {
+    pub fn service_for(&self, request_hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
             return self.targets.first().map(|target| &target.service);
         }
-        let mut position = spread % total;
+        let mut position = request_hash % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if position < weight {
--- a/crates/beamwall-policy/tests/change.rs
+++ b/crates/beamwall-policy/tests/change.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use beamwall_policy::{ChangeError, PolicyArchive, PolicyChange, Route, Shared, Tenant, TrafficPolicy};
+use beamwall_policy::{ChangeError, PolicyChange, PolicyHistory, Route, Shared, Tenant, TrafficPolicy};
 use beamwall_seeds::on_seeds;
 
 /// Names of routes and tenants of random policies: few, so that versions have some in common.
@@ -43,37 +43,37 @@
 }
 
 /// What is in a policy, whatever the order.
-fn parts(policy: &TrafficPolicy) -> (u64, Vec<String>) {
+fn sorted_items(policy: &TrafficPolicy) -> (u64, Vec<String>) {
     let routes = policy.routes.iter().map(|route| format!("{:?}", **route));
     let tenants = policy.tenants.iter().map(|tenant| format!("{:?}", **tenant));
-    let mut parts: Vec<String> = routes.chain(tenants).collect();
-    parts.sort();
-    (policy.version, parts)
+    let mut sorted_items: Vec<String> = routes.chain(tenants).collect();
+    sorted_items.sort();
+    (policy.version, sorted_items)
 }
 
 #[test]
-fn a_change_that_was_told_leads_to_the_newer_version() {
+fn a_serialized_change_applied_to_its_base_gives_the_newer_version() {
     on_seeds(2_000, |random| {
         let base = random_policy(3, random)?;
         let newest = random_policy(9, random)?;
         let text = serde_json::to_string(&PolicyChange::between(&base, &newest)).expect("text");
         let change: PolicyChange = serde_json::from_str(&text).expect("a change");
         let result = change.apply(&base).expect("it applies");
-        assert_eq!(parts(&result), parts(&newest));
+        assert_eq!(sorted_items(&result), sorted_items(&newest));
         assert_eq!(result.digest(), newest.digest());
         Ok(())
     });
 }
 
 #[test]
-fn a_change_to_another_base_is_refused() {
+fn a_change_applied_to_another_base_is_rejected() {
     let base = TrafficPolicy { version: 3, routes: vec![route("a", 1).into()], ..TrafficPolicy::default() };
     let newest = TrafficPolicy { version: 4, ..base.clone() };
     let change = PolicyChange::between(&base, &newest);
     let other = TrafficPolicy { version: 2, ..base.clone() };
-    assert_eq!(change.apply(&other), Err(ChangeError::OtherBase(3, 2)));
+    assert_eq!(change.apply(&other), Err(ChangeError::BaseMismatch(3, 2)));
     let differs = TrafficPolicy { routes: vec![route("b", 1).into()], ..base };
-    assert_eq!(change.apply(&differs), Err(ChangeError::DigestDiffers(4)));
+    assert_eq!(change.apply(&differs), Err(ChangeError::DigestMismatch(4)));
 }
 
 #[test]
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn an_archive_tells_the_whole_where_it_lacks_the_base() {
-    let archive = PolicyArchive::default();
-    assert!(archive.change_from(0, 0).is_none());
+fn the_history_returns_the_whole_policy_without_a_matching_base() {
+    let history = PolicyHistory::default();
+    assert!(history.change_from(0, 0).is_none());
     let version = |version| {
         Arc::new(TrafficPolicy {
             version,
@@ -100,9 +100,9 @@
             ..TrafficPolicy::default()
         })
     };
-    (1..=3).for_each(|number| archive.keep(version(number)));
-    assert_eq!(archive.newest_version(), Some(3));
-    let from = |held: u64, digest| archive.change_from(held, digest).expect("a change").base;
+    (1..=3).for_each(|number| history.push(version(number)));
+    assert_eq!(history.newest_version(), Some(3));
+    let from = |held: u64, digest| history.change_from(held, digest).expect("a change").base;
     assert_eq!(from(2, version(2).digest()), 2);
     assert_eq!(from(2, 77), 0, "another policy under the same number");
     assert_eq!(from(9, 77), 0, "a version that was never held");
