--- a/crates/beamwall-fleet/src/backend.rs
+++ b/crates/beamwall-fleet/src/backend.rs
@@ -49,7 +49,7 @@
     /// Number of the poll at that node; newer is larger.
     pub sequence: u64,
     /// When this node learned of it.
-    pub learned: Instant,
+    pub received_at: Instant,
     /// Whether it answered.
     pub up: bool,
     /// Running requests.
@@ -100,7 +100,7 @@
             backend,
             observer,
             sequence,
-            learned: Instant::now(),
+            received_at: Instant::now(),
             up: false,
             running: 0,
             waiting: 0,
--- a/crates/beamwall-fleet/src/engine_wire.rs
+++ b/crates/beamwall-fleet/src/engine_wire.rs
@@ -98,7 +98,7 @@
 }
 
 /// Reads one line of a stream.
-pub fn read_item(line: &[u8]) -> Result<StreamItem, EngineWireError> {
+pub fn parse_stream_line(line: &[u8]) -> Result<StreamItem, EngineWireError> {
     let wire: WireItem =
         serde_json::from_slice(line).map_err(|error| EngineWireError::Line(error.to_string()))?;
     match wire {
@@ -133,17 +133,17 @@
 
 impl EngineClient {
     /// A client whose calls end after `limit`.
-    pub fn new(pool: Pool, address: SocketAddr, limit: Duration) -> Self {
-        Self { client: JsonClient::new(pool, address, limit) }
+    pub fn new(pool: Pool, address: SocketAddr, timeout: Duration) -> Self {
+        Self { client: JsonClient::new(pool, address, timeout) }
     }
 
     /// Polls load and health.
     pub async fn poll(&self, backend: &BackendId, observer: &NodeId, sequence: u64) -> BackendReport {
         let down = BackendReport::down(backend.clone(), observer.clone(), sequence);
-        let Ok(answer) = self.client.get("/load").await else { return down };
-        let Ok(wire) = answer.json::<WireLoad>() else { return down };
+        let Ok(response) = self.client.get("/load").await else { return down };
+        let Ok(wire) = response.json::<WireLoad>() else { return down };
         BackendReport {
-            learned: Instant::now(),
+            received_at: Instant::now(),
             up: true,
             running: wire.running,
             waiting: wire.waiting,
@@ -164,14 +164,14 @@
 
     /// Takes the KV cache of an attempt, to be given to another engine; `None` when there is none.
     pub async fn export_cache(&self, attempt: &AttemptId) -> Result<Option<Bytes>, ClientError> {
-        let answer = self.client.get(&format!("/kv/{attempt}")).await?;
-        Ok((answer.status == StatusCode::OK).then_some(answer.body))
+        let response = self.client.get(&format!("/kv/{attempt}")).await?;
+        Ok((response.status == StatusCode::OK).then_some(response.body))
     }
 
     /// Gives a KV cache that another engine exported.
     pub async fn import_cache(&self, exported: Bytes) -> Result<bool, ClientError> {
-        let answer = self.client.call(Method::POST, "/kv", exported).await?;
-        Ok(answer.status == StatusCode::OK)
+        let response = self.client.call(Method::POST, "/kv", exported).await?;
+        Ok(response.status == StatusCode::OK)
     }
 
     /// Gives an order.
@@ -183,17 +183,17 @@
         };
         let wire =
             WireOrder { epoch: order.epoch, plan_revision: order.plan_revision, order: name, model, version };
-        let answer = self.client.post("/orders", &wire).await.map_err(|error| {
+        let response = self.client.post("/orders", &wire).await.map_err(|error| {
             if error.nothing_sent() {
                 OrderError::NotSent(error.to_string())
             } else {
                 OrderError::Unknown(error.to_string())
             }
         })?;
-        match answer.status {
+        match response.status {
             StatusCode::OK => Ok(()),
-            StatusCode::CONFLICT => Err(OrderError::Outdated(answer.text())),
-            _ => Err(OrderError::Unknown(answer.text())),
+            StatusCode::CONFLICT => Err(OrderError::Outdated(response.text())),
+            _ => Err(OrderError::Unknown(response.text())),
         }
     }
 }
--- a/crates/beamwall-fleet/src/fleet.rs
+++ b/crates/beamwall-fleet/src/fleet.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::backend::{Backend, BackendReport};
-use crate::leaving::{Leaving, LeavingSource};
+use crate::leaving::{LeavingMarks, LeavingSource};
 use crate::local_load::LocalLoad;
 use crate::view::{BackendView, FleetView};
 
@@ -18,9 +18,9 @@
 /// How much older than its arrival a load report may be.
 const REPORT_LAG: Duration = Duration::from_millis(700);
 /// Own counts remembered for matching against late reports.
-const COUNTS_KEPT: usize = 16;
+const MAX_OWN_COUNTS: usize = 16;
 /// A back end that left the machine list and does not answer is forgotten after this time.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(10);
 
 /// A change worth logging and telling others.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     report: Option<BackendReport>,
     newest_by_observer: BTreeMap<String, u64>,
     failures: u32,
-    leaving: Leaving,
+    leaving: LeavingMarks,
     load: Arc<LocalLoad>,
     own_counts: VecDeque<OwnCount>,
     listed: bool,
@@ -58,15 +58,15 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     entries: BTreeMap<BackendId, Entry>,
-    early_marks: BTreeMap<BackendId, Leaving>,
+    unlisted_marks: BTreeMap<BackendId, LeavingMarks>,
 }
 
 impl Fleet {
     /// Takes the machine list. It lags: a machine that vanished from it stays while it answers.
     pub fn apply_machines(&mut self, machines: &[Machine], now: Instant) -> Vec<FleetChange> {
         for entry in self.entries.values_mut().filter(|entry| entry.listed) {
-            let still = machines.iter().any(|machine| machine.id == entry.backend.id);
-            if !still {
+            let is_listed = machines.iter().any(|machine| machine.id == entry.backend.id);
+            if !is_listed {
                 entry.listed = false;
                 entry.unlisted_since = now;
             }
@@ -78,7 +78,7 @@
                 changes.extend(self.mark_leaving(&machine.id, LeavingSource::List, None));
             }
         }
-        self.entries.retain(|_, entry| !entry.is_forgotten(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
         changes
     }
 
@@ -88,7 +88,7 @@
             entry.listed = true;
             return;
         }
-        let leaving = self.early_marks.remove(&machine.id).unwrap_or_default();
+        let leaving = self.unlisted_marks.remove(&machine.id).unwrap_or_default();
         let entry = Entry {
             backend: Backend::from(machine),
             report: None,
@@ -112,11 +112,11 @@
             return None;
         }
         *newest = report.sequence;
-        let mut changes = entry.note_health(&report);
+        let mut changes = entry.update_health(&report);
         if !report.up {
             return Some(changes);
         }
-        entry.note_own_part(report.learned);
+        entry.record_own_load(report.received_at);
         let id = report.backend.clone();
         let leaving = report.leaving;
         entry.report = Some(report);
@@ -137,7 +137,7 @@
     ) -> Option<FleetChange> {
         let leaving = match self.entries.get_mut(id) {
             Some(entry) => &mut entry.leaving,
-            None => self.early_marks.entry(id.clone()).or_default(),
+            None => self.unlisted_marks.entry(id.clone()).or_default(),
         };
         leaving.mark(source, deadline).then(|| FleetChange::Leaving(id.clone(), source))
     }
@@ -152,7 +152,7 @@
     /// Marks to tell others: back end, source and deadline.
     pub fn leaving_marks(&self) -> Vec<(BackendId, LeavingSource, Option<Instant>)> {
         let listed = self.entries.iter().map(|(id, entry)| (id, &entry.leaving));
-        let all = listed.chain(self.early_marks.iter());
+        let all = listed.chain(self.unlisted_marks.iter());
         all.flat_map(|(id, leaving)| {
             leaving.sources().map(move |(source, deadline)| (id.clone(), source, deadline))
         })
@@ -181,7 +181,7 @@
 }
 
 impl Entry {
-    fn note_health(&mut self, report: &BackendReport) -> Vec<FleetChange> {
+    fn update_health(&mut self, report: &BackendReport) -> Vec<FleetChange> {
         let id = report.backend.clone();
         let was_down = self.failures >= FAILURES_UNTIL_DOWN;
         if report.up {
@@ -195,22 +195,25 @@
     }
 
     /// The report describes the back end as it was [`REPORT_LAG`] ago.
-    fn note_own_part(&mut self, learned: Instant) {
-        let now =
-            OwnCount { at: learned, requests: self.load.open_requests(), tokens: self.load.pending_tokens() };
+    fn record_own_load(&mut self, received_at: Instant) {
+        let now = OwnCount {
+            at: received_at,
+            requests: self.load.open_requests(),
+            tokens: self.load.pending_tokens(),
+        };
         self.own_counts.push_back(now);
-        if self.own_counts.len() > COUNTS_KEPT {
+        if self.own_counts.len() > MAX_OWN_COUNTS {
             self.own_counts.pop_front();
         }
-        let old_enough = |count: &&OwnCount| learned.duration_since(count.at) >= REPORT_LAG;
-        if let Some(then) = self.own_counts.iter().rev().find(old_enough) {
-            self.load.set_reported(then.requests, then.tokens);
+        let old_enough = |count: &&OwnCount| received_at.duration_since(count.at) >= REPORT_LAG;
+        if let Some(at_report) = self.own_counts.iter().rev().find(old_enough) {
+            self.load.set_reported(at_report.requests, at_report.tokens);
         }
     }
 
-    fn is_forgotten(&self, now: Instant) -> bool {
-        let silent = self.failures >= FAILURES_UNTIL_DOWN || self.report.is_none();
-        !self.listed && silent && now.duration_since(self.unlisted_since) >= FORGET_AFTER
+    fn is_expired(&self, now: Instant) -> bool {
+        let unresponsive = self.failures >= FAILURES_UNTIL_DOWN || self.report.is_none();
+        !self.listed && unresponsive && now.duration_since(self.unlisted_since) >= UNLISTED_RETENTION
     }
 
     fn view(&self) -> BackendView {
--- a/crates/beamwall-fleet/src/leaving.rs
+++ b/crates/beamwall-fleet/src/leaving.rs
@@ -41,11 +41,11 @@
 
 /// The marks on one back end.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Leaving {
+pub struct LeavingMarks {
     sources: BTreeMap<LeavingSource, Option<Instant>>,
 }
 
-impl Leaving {
+impl LeavingMarks {
     /// Adds a mark; returns whether it is news.
     pub fn mark(&mut self, source: LeavingSource, deadline: Option<Instant>) -> bool {
         match self.sources.get(&source) {
--- a/crates/beamwall-fleet/src/lib.rs
+++ b/crates/beamwall-fleet/src/lib.rs
@@ -17,6 +17,6 @@
 pub use backend::{Backend, BackendReport};
 pub use engine_wire::EngineClient;
 pub use fleet::{Fleet, FleetChange};
-pub use leaving::{Leaving, LeavingSource};
+pub use leaving::{LeavingMarks, LeavingSource};
 pub use local_load::LocalLoad;
 pub use view::{BackendView, FleetView};
--- a/crates/beamwall-fleet/src/local_load.rs
+++ b/crates/beamwall-fleet/src/local_load.rs
@@ -40,13 +40,13 @@
     }
 
     /// All requests there: the others' by the report, this node's by its own count.
-    pub fn all_requests(&self, reported: u32) -> u32 {
+    pub fn total_requests(&self, reported: u32) -> u32 {
         let others = reported.saturating_sub(self.reported_requests.load(Ordering::Relaxed));
         others.saturating_add(self.open_requests())
     }
 
     /// All prompt tokens not yet computed there.
-    pub fn all_tokens(&self, reported: u32) -> u32 {
+    pub fn total_tokens(&self, reported: u32) -> u32 {
         let others = reported.saturating_sub(self.reported_tokens.load(Ordering::Relaxed));
         others.saturating_add(self.pending_tokens())
     }
@@ -61,7 +61,7 @@
 
 impl DispatchGuard {
     /// Notes that the back end has computed the prompt.
-    pub fn note_started(&mut self) {
+    pub fn record_prefill_done(&mut self) {
         self.load.pending_tokens.fetch_sub(self.pending, Ordering::Relaxed);
         self.pending = 0;
     }
@@ -69,7 +69,7 @@
 
 impl Drop for DispatchGuard {
     fn drop(&mut self) {
-        self.note_started();
+        self.record_prefill_done();
         self.load.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/beamwall-fleet/src/planner.rs
+++ b/crates/beamwall-fleet/src/planner.rs
@@ -12,7 +12,7 @@
 
 /// A machine as the planner sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldMachine {
+pub struct ExistingMachine {
     /// Name.
     pub id: BackendId,
     /// Zone.
@@ -53,7 +53,7 @@
     /// Placements of the settings tree.
     pub placements: Vec<Placement>,
     /// Machines that are held and not leaving.
-    pub machines: Vec<HeldMachine>,
+    pub machines: Vec<ExistingMachine>,
     /// Prices now.
     pub offers: Vec<Offer>,
     /// Zones that lately refused a start, with the reclaimable mark asked for.
@@ -74,17 +74,17 @@
     let wanted = machines_by_zone(placement, &prices);
     for zone in &placement.zones {
         let count = wanted.get(zone).copied().unwrap_or(0);
-        let held: Vec<&HeldMachine> = input
+        let existing: Vec<&ExistingMachine> = input
             .machines
             .iter()
             .filter(|machine| machine.service == placement.service && &machine.zone == zone)
             .collect();
-        add_stops(&held, count, plan);
+        add_stops(&existing, count, plan);
         if let Some(offer) = prices.get(zone) {
-            add_starts(placement, offer, count.saturating_sub(held.len()), plan);
+            add_starts(placement, offer, count.saturating_sub(existing.len()), plan);
         }
     }
-    raise_on_demand(input, placement, plan);
+    ensure_minimum_on_demand(input, placement, plan);
 }
 
 /// The cheapest offer of each zone, of the allowed classes; a zone that lately refused reclaimable
@@ -92,8 +92,9 @@
 fn cheapest_offers<'a>(input: &'a PlanningInput, placement: &Placement) -> BTreeMap<ZoneName, &'a Offer> {
     let allowed = |offer: &&Offer| {
         let class = placement.machine_classes.is_empty() || placement.machine_classes.contains(&offer.class);
-        let refused =
-            input.refused.iter().any(|(zone, kind)| *zone == offer.zone && *kind == offer.reclaimable);
+        let refused = input.refused.iter().any(|(zone, refused_reclaimable)| {
+            *zone == offer.zone && *refused_reclaimable == offer.reclaimable
+        });
         class && placement.zones.contains(&offer.zone) && !refused
     };
     let mut cheapest: BTreeMap<ZoneName, &Offer> = BTreeMap::new();
@@ -126,29 +127,29 @@
     if zones.len() == 1 {
         return BTreeMap::from([(zones[0].0.clone(), replicas)]);
     }
-    let smallest = replicas.div_ceil(zones.len() - 1);
-    let candidates = (smallest..=replicas).map(|fullest| spread(&zones, replicas + fullest, fullest));
+    let min_fullest = replicas.div_ceil(zones.len() - 1);
+    let candidates = (min_fullest..=replicas).map(|fullest| fill_zones(&zones, replicas + fullest, fullest));
     let cheapest = candidates.min_by_key(|counts| cost(&zones, counts)).unwrap_or_default();
     zones.iter().zip(cheapest).map(|((zone, _), count)| ((*zone).clone(), count)).collect()
 }
 
-fn spread(zones: &[(&ZoneName, u64)], total: usize, fullest: usize) -> Vec<usize> {
-    let mut left = total;
-    let take = |_: &(&ZoneName, u64)| {
-        let count = left.min(fullest);
-        left -= count;
+fn fill_zones(zones: &[(&ZoneName, u64)], total: usize, fullest: usize) -> Vec<usize> {
+    let mut remaining = total;
+    let allocate = |_: &(&ZoneName, u64)| {
+        let count = remaining.min(fullest);
+        remaining -= count;
         count
     };
-    zones.iter().map(take).collect()
+    zones.iter().map(allocate).collect()
 }
 
 fn cost(zones: &[(&ZoneName, u64)], counts: &[usize]) -> u64 {
     zones.iter().zip(counts).map(|((_, price), count)| price * *count as u64).sum()
 }
 
-fn add_stops(held: &[&HeldMachine], wanted: usize, plan: &mut PlacementPlan) {
-    let excess = held.len().saturating_sub(wanted);
-    let mut by_price: Vec<&&HeldMachine> = held.iter().collect();
+fn add_stops(existing: &[&ExistingMachine], wanted: usize, plan: &mut PlacementPlan) {
+    let excess = existing.len().saturating_sub(wanted);
+    let mut by_price: Vec<&&ExistingMachine> = existing.iter().collect();
     by_price.sort_by(|left, right| {
         right.price_micros_per_hour.cmp(&left.price_micros_per_hour).then_with(|| left.id.cmp(&right.id))
     });
@@ -167,14 +168,14 @@
 }
 
 /// Makes enough of the starts on demand that the placement's minimum is met.
-fn raise_on_demand(input: &PlanningInput, placement: &Placement, plan: &mut PlacementPlan) {
-    let kept = |machine: &&HeldMachine| {
+fn ensure_minimum_on_demand(input: &PlanningInput, placement: &Placement, plan: &mut PlacementPlan) {
+    let retained = |machine: &&ExistingMachine| {
         machine.service == placement.service && !machine.reclaimable && !plan.stops.contains(&machine.id)
     };
-    let held = input.machines.iter().filter(kept).count();
+    let existing = input.machines.iter().filter(retained).count();
     let is_on_demand = |start: &&MachineStart| start.service == placement.service && !start.reclaimable;
     let started = plan.starts.iter().filter(is_on_demand).count();
-    let missing = placement.minimum_on_demand.saturating_sub(held + started);
+    let missing = placement.minimum_on_demand.saturating_sub(existing + started);
     let starts =
         plan.starts.iter_mut().filter(|start| start.service == placement.service && start.reclaimable);
     for start in starts.take(missing) {
--- a/crates/beamwall-fleet/src/view.rs
+++ b/crates/beamwall-fleet/src/view.rs
@@ -37,13 +37,13 @@
     /// Running and waiting requests, with this node's own as they are now.
     pub fn requests(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.running + report.waiting);
-        self.load.all_requests(reported)
+        self.load.total_requests(reported)
     }
 
     /// Prompt tokens not yet computed, with this node's own as they are now.
     pub fn queued_tokens(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.queued_tokens);
-        self.load.all_tokens(reported)
+        self.load.total_tokens(reported)
     }
 }
 
--- a/crates/beamwall-fleet/tests/load.rs
+++ b/crates/beamwall-fleet/tests/load.rs
@@ -21,9 +21,9 @@
     }
 }
 
-fn report(sequence: u64, learned: Instant, running: u32) -> BackendReport {
+fn report(sequence: u64, received_at: Instant, running: u32) -> BackendReport {
     BackendReport {
-        learned,
+        received_at,
         up: true,
         running,
         ..BackendReport::down(BackendId::new("engine"), NodeId::new("node"), sequence)
--- a/crates/beamwall-fleet/tests/planner.rs
+++ b/crates/beamwall-fleet/tests/planner.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use beamwall_config::Placement;
-use beamwall_fleet::planner::{HeldMachine, MachineStart, PlanningInput, machines_by_zone, plan};
+use beamwall_fleet::planner::{ExistingMachine, MachineStart, PlanningInput, machines_by_zone, plan};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_store::cloud::Offer;
 
@@ -33,7 +33,7 @@
 }
 
 /// The cheapest cost over all spreads that keep `replicas` after the fullest zone is lost.
-fn naive_cost(prices: &[u64], replicas: usize) -> u64 {
+fn brute_force_cost(prices: &[u64], replicas: usize) -> u64 {
     fn search(prices: &[u64], replicas: usize, chosen: &mut Vec<usize>) -> u64 {
         if chosen.len() == prices.len() {
             let total: usize = chosen.iter().sum();
@@ -53,7 +53,7 @@
     search(prices, replicas, &mut Vec::new())
 }
 
-fn property(input: &mut Unstructured<'_>) -> Result<()> {
+fn cost_equals_brute_force(input: &mut Unstructured<'_>) -> Result<()> {
     let zones = input.int_in_range(1..=4)?;
     let replicas = input.int_in_range(0..=6)?;
     let prices: Vec<u64> = (0..zones).map(|_| input.int_in_range(1..=20)).collect::<Result<_>>()?;
@@ -66,21 +66,21 @@
         chosen.iter().map(|(zone, count)| cheapest[zone].price_micros_per_hour * *count as u64).sum();
     assert_eq!(
         cost,
-        naive_cost(&prices, replicas),
+        brute_force_cost(&prices, replicas),
         "zones {zones}, replicas {replicas}, prices {prices:?}: {chosen:?}"
     );
     Ok(())
 }
 
 #[test]
-fn the_cheapest_spread_that_survives_a_zone() {
+fn the_cheapest_distribution_that_survives_the_loss_of_a_zone() {
     for seed in 1..200_u64 {
-        arbtest(property).seed((seed << 32) | 0x200);
+        arbtest(cost_equals_brute_force).seed((seed << 32) | 0x200);
     }
 }
 
-fn held(start: &MachineStart, number: usize) -> HeldMachine {
-    HeldMachine {
+fn existing(start: &MachineStart, number: usize) -> ExistingMachine {
+    ExistingMachine {
         id: BackendId::new(format!("m{number}")),
         zone: start.zone.clone(),
         service: start.service.clone(),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_plan_carried_out_asks_for_nothing_more() {
+fn an_executed_plan_requests_no_further_change() {
     for (zones, replicas, on_demand) in [(3, 6, 3), (3, 2, 0), (1, 4, 4), (4, 7, 2), (2, 3, 1)] {
         let prices: Vec<u64> = (1..=zones as u64).collect();
         let mut input = PlanningInput {
@@ -102,13 +102,14 @@
         assert!(first.stops.is_empty());
         let kept = first.starts.iter().filter(|start| !start.reclaimable).count();
         assert!(kept >= on_demand, "{kept} on demand, {on_demand} wanted");
-        input.machines = first.starts.iter().enumerate().map(|(number, start)| held(start, number)).collect();
+        input.machines =
+            first.starts.iter().enumerate().map(|(number, start)| existing(start, number)).collect();
         assert_eq!(plan(&input), Default::default(), "zones {zones}, replicas {replicas}");
     }
 }
 
 #[test]
-fn a_zone_that_refuses_reclaimable_machines_is_asked_for_others() {
+fn a_zone_that_refused_reclaimable_machines_gets_on_demand_machines() {
     let mut input = PlanningInput {
         placements: vec![placement(3, 2, 0)],
         offers: offers(&[1, 1, 1]),
