--- a/crates/beamwall-gateway/src/retries.rs
+++ b/crates/beamwall-gateway/src/retries.rs
@@ -52,7 +52,7 @@
     fn limit_saved(&mut self, allowance: &RetryAllowance, nodes: usize, now: Instant) {
         let recent = self.recent.count(now, allowance.window);
         let share = f64::from(recent) * f64::from(allowance.saved_percent) / 100.0;
-        self.budget.set_most_saved(share + allowance.extra / nodes as f64);
+        self.budget.set_capacity(share + allowance.extra / nodes as f64);
     }
 }
 
@@ -105,7 +105,8 @@
         let mut state = self.lock();
         let State { nodes, services } = &mut *state;
         let part = self.allowance.extra / *nodes as f64;
-        let new = || ServiceRetries { budget: RetryBudget::saving(part), recent: RecentRequests::default() };
+        let new =
+            || ServiceRetries { budget: RetryBudget::with_capacity(part), recent: RecentRequests::default() };
         let retries = services.entry(service.clone()).or_insert_with(new);
         retries.limit_saved(&self.allowance, *nodes, now);
         act(retries)
@@ -114,7 +115,11 @@
     /// Retries that may be taken now, by service.
     pub fn left(&self) -> Vec<(ServiceName, f64)> {
         let state = self.lock();
-        state.services.iter().map(|(service, retries)| (service.clone(), retries.budget.left())).collect()
+        state
+            .services
+            .iter()
+            .map(|(service, retries)| (service.clone(), retries.budget.available_retries()))
+            .collect()
     }
 }
 
--- a/crates/beamwall-node/src/actors/fleet.rs
+++ b/crates/beamwall-node/src/actors/fleet.rs
@@ -66,7 +66,7 @@
                 emit(&BackendLeaving { backend: id.to_string(), source: source.as_str().to_owned() });
             }
             FleetChange::Down(id) => {
-                self.dispatcher.prefixes.forget(id);
+                self.dispatcher.prefixes.remove_engine(id);
                 emit(&BackendDown { backend: id.to_string(), reason: "polls failed".to_owned() });
             }
             FleetChange::Up(id, zone) => emit(&BackendUp { backend: id.to_string(), zone: zone.to_string() }),
@@ -81,10 +81,10 @@
         };
         let quantised = report.quantise();
         let is_known = self.told.get(&report.backend).is_some_and(|(told, at)| {
-            *told == quantised && report.learned.duration_since(*at) < REFRESH_PERIOD
+            *told == quantised && report.received_at.duration_since(*at) < REFRESH_PERIOD
         });
         if !is_known {
-            self.told.insert(report.backend.clone(), (quantised, report.learned));
+            self.told.insert(report.backend.clone(), (quantised, report.received_at));
             self.untold.insert(report.backend.clone(), (report.clone(), times));
         }
     }
--- a/crates/beamwall-node/src/actors/policy.rs
+++ b/crates/beamwall-node/src/actors/policy.rs
@@ -5,7 +5,7 @@
 use arc_swap::ArcSwap;
 use beamwall_events::emit;
 use beamwall_events::internal_events::PolicyActivated;
-use beamwall_policy::{ChangeError, PolicyArchive, PolicyChange, PolicyIndex, TrafficPolicy};
+use beamwall_policy::{ChangeError, PolicyChange, PolicyHistory, PolicyIndex, TrafficPolicy};
 use kameo::Actor;
 use kameo::message::{Context, Message};
 use tokio::sync::Notify;
@@ -15,14 +15,14 @@
 #[derive(Actor)]
 pub struct PolicyActor {
     view: Arc<ArcSwap<PolicyIndex>>,
-    archive: Arc<PolicyArchive>,
+    archive: Arc<PolicyHistory>,
     news: Arc<Notify>,
 }
 
 impl PolicyActor {
     fn activate(&self, policy: TrafficPolicy, source: String, begun: Instant) {
         let policy = Arc::new(policy);
-        self.archive.keep(policy.clone());
+        self.archive.push(policy.clone());
         self.view.store(Arc::new(PolicyIndex::new(policy.clone())));
         emit(&PolicyActivated {
             version: policy.version.to_string(),
@@ -35,7 +35,7 @@
     }
 
     /// An owner that publishes to `view`, keeps versions in `archive` and tells `news` of a newer one.
-    pub fn new(view: Arc<ArcSwap<PolicyIndex>>, archive: Arc<PolicyArchive>, news: Arc<Notify>) -> Self {
+    pub fn new(view: Arc<ArcSwap<PolicyIndex>>, archive: Arc<PolicyHistory>, news: Arc<Notify>) -> Self {
         Self { view, archive, news }
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/followed_demand.rs
+++ b/crates/beamwall-node/src/gateway/duties/followed_demand.rs
@@ -6,7 +6,7 @@
 use beamwall_gateway::Gateway;
 use beamwall_gateway::sizing::{self, Needed, Objectives};
 use beamwall_model::ServiceName;
-use beamwall_policy::{Route, Service, Shared, TrafficPolicy, USUAL_OBJECTIVE_MS};
+use beamwall_policy::{DEFAULT_OBJECTIVE_MS, Route, Service, Shared, TrafficPolicy};
 use tokio::time::Instant;
 
 /// Time after the first request for which the number of back ends found at the start is kept.
@@ -92,7 +92,7 @@
         route.kind.is_stream() && route.targets.iter().any(|target| target.service == service.name)
     };
     let routes = || policy.routes.iter().filter(leads_here);
-    let first_event_ms = routes().map(|route| route.objective_ms).min().unwrap_or(USUAL_OBJECTIVE_MS);
+    let first_event_ms = routes().map(|route| route.objective_ms).min().unwrap_or(DEFAULT_OBJECTIVE_MS);
     let pause_ms = routes().filter_map(|route| route.gap_objective_ms).min();
     Objectives { first_event_ms: first_event_ms as f64, pause_ms: pause_ms.map(|pause| pause as f64) }
 }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -61,7 +61,7 @@
 use beamwall_http::{Pool, serve};
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork, TransferPacer};
-use beamwall_policy::PolicyArchive;
+use beamwall_policy::PolicyHistory;
 use beamwall_quarantine::QuarantineBook;
 use beamwall_rollout::RolloutBook;
 use beamwall_store::VersionedObjects;
@@ -359,7 +359,7 @@
     let directory = gateway.forwarder.directory.clone();
     let versions: Arc<Notify> = Arc::default();
     let transfers = Arc::new(TransferPacer::new(settings.link_mbps));
-    let archive: Arc<PolicyArchive> = Arc::default();
+    let archive: Arc<PolicyHistory> = Arc::default();
     Exchange {
         node: settings.node.clone(),
         zone: settings.zone.clone(),
--- a/crates/beamwall-node/src/gateway/policies.rs
+++ b/crates/beamwall-node/src/gateway/policies.rs
@@ -13,7 +13,7 @@
 use beamwall_events::internal_events::{PolicyBehind, PolicyChangeUnusable};
 use beamwall_peer::gateway_message::{PolicyAnswer, PolicyRequest};
 use beamwall_peer::{Body, TransferPacer, compressed};
-use beamwall_policy::{PolicyArchive, PolicyChange};
+use beamwall_policy::{PolicyChange, PolicyHistory};
 use tokio::time::Instant;
 
 use crate::actors::policy::ApplyPolicyChange;
@@ -38,7 +38,7 @@
 /// The versions of the policy that are told to peers and heard from them.
 #[derive(Debug)]
 pub struct PolicyDistribution {
-    archive: Arc<PolicyArchive>,
+    archive: Arc<PolicyHistory>,
     transfers: Arc<TransferPacer>,
     heard: HeardVersions,
     encoded: Mutex<Vec<EncodedChange>>,
@@ -46,7 +46,7 @@
 
 impl PolicyDistribution {
     /// Tells from `archive`, at the pace of `transfers`.
-    pub fn new(archive: Arc<PolicyArchive>, transfers: Arc<TransferPacer>) -> Self {
+    pub fn new(archive: Arc<PolicyHistory>, transfers: Arc<TransferPacer>) -> Self {
         Self { archive, transfers, heard: HeardVersions::default(), encoded: Mutex::default() }
     }
 
--- a/crates/beamwall-node/src/operators/explain.rs
+++ b/crates/beamwall-node/src/operators/explain.rs
@@ -72,7 +72,7 @@
         session: request.session.as_deref(),
         prompt_tokens,
         zone: &shared.settings.zone,
-        turn: 0,
+        round_robin_index: 0,
         excluded: &[],
         cached_tokens: &|_| 0,
     };
--- a/crates/beamwall-node/src/tasks/control/machines.rs
+++ b/crates/beamwall-node/src/tasks/control/machines.rs
@@ -12,7 +12,7 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::{MachineReleased, MachineRequested};
 use beamwall_fleet::LeavingSource;
-use beamwall_fleet::planner::{HeldMachine, MachineStart, PlacementPlan, PlanningInput, plan};
+use beamwall_fleet::planner::{ExistingMachine, MachineStart, PlacementPlan, PlanningInput, plan};
 use beamwall_model::{BackendId, ZoneName};
 use beamwall_store::cloud::MachineRequest;
 use beamwall_store::object::ABSENT;
@@ -214,8 +214,8 @@
     format!("starts/{}", shared.settings.zone)
 }
 
-fn to_held(machine: &Machine) -> HeldMachine {
-    HeldMachine {
+fn to_held(machine: &Machine) -> ExistingMachine {
+    ExistingMachine {
         id: machine.id.clone(),
         zone: machine.zone.clone(),
         service: machine.service.clone(),
@@ -224,9 +224,9 @@
     }
 }
 
-fn to_expected(start: &RecordedStart) -> HeldMachine {
+fn to_expected(start: &RecordedStart) -> ExistingMachine {
     let request = &start.request;
-    HeldMachine {
+    ExistingMachine {
         id: start.machine.clone().unwrap_or_else(|| BackendId::new(&request.request)),
         zone: request.zone.clone(),
         service: request.service.clone(),
--- a/crates/beamwall-node/src/tasks/report_message.rs
+++ b/crates/beamwall-node/src/tasks/report_message.rs
@@ -28,7 +28,7 @@
         backend: BackendId::new(&report.backend),
         observer: NodeId::new(&report.observer),
         sequence: report.sequence,
-        learned,
+        received_at: learned,
         up: report.up,
         running: report.running,
         waiting: report.waiting,
--- a/crates/beamwall-node/tests/leaving.rs
+++ b/crates/beamwall-node/tests/leaving.rs
@@ -120,7 +120,7 @@
     let view = shared.dispatcher.view.load();
     let report =
         view.backend(&"game-a0".into()).and_then(|backend| backend.report.clone()).expect("a report");
-    assert!(report.learned.elapsed() < BOUND, "the reports of the restarted node were ignored");
+    assert!(report.received_at.elapsed() < BOUND, "the reports of the restarted node were ignored");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/beamwall-request/src/attempt.rs
+++ b/crates/beamwall-request/src/attempt.rs
@@ -8,7 +8,7 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::LateAnswerDropped;
 use beamwall_fleet::EngineClient;
-use beamwall_fleet::engine_wire::{GenerateCall, StreamItem, generate_request, read_item};
+use beamwall_fleet::engine_wire::{GenerateCall, StreamItem, generate_request, parse_stream_line};
 use beamwall_fleet::local_load::DispatchGuard;
 use beamwall_http::{PoolError, PooledBody};
 use beamwall_model::AttemptId;
@@ -138,7 +138,7 @@
             tokio::select! {
                 line = lines.next() => {
                     let Some(line) = line else { return AttemptEnd::Broken };
-                    open.note_started();
+                    open.record_prefill_done();
                     pace.note_line();
                     if let Some(end) = self.take_line(input, &line, attempt, &mut pace) {
                         return end;
@@ -171,12 +171,12 @@
         pace: &mut TokenPace,
     ) -> Option<AttemptEnd> {
         let engine = &input.route.backend.backend.id;
-        match read_item(line) {
+        match parse_stream_line(line) {
             Ok(StreamItem::Started { cached_tokens, computed_tokens }) => {
                 let is_first = input.state.usage().attempts <= 1;
                 input.state.note_started(cached_tokens, computed_tokens);
                 self.prefixes.correct(engine, input.blocks, cached_tokens as usize * BYTES_PER_TOKEN);
-                self.prefixes.note_computed(engine, input.blocks);
+                self.prefixes.record_computed(engine, input.blocks);
                 if !is_first {
                     self.metrics.recomputed_tokens.inc_by(computed_tokens.into());
                 }
--- a/crates/beamwall-request/src/dispatcher.rs
+++ b/crates/beamwall-request/src/dispatcher.rs
@@ -261,7 +261,7 @@
             session: request.session.as_deref(),
             prompt_tokens: request.prompt_tokens(),
             zone: &self.zone,
-            turn: self.turn.fetch_add(1, Ordering::Relaxed),
+            round_robin_index: self.turn.fetch_add(1, Ordering::Relaxed),
             excluded,
             cached_tokens: &cached_tokens,
         };
--- a/crates/beamwall-request/src/plain_call.rs
+++ b/crates/beamwall-request/src/plain_call.rs
@@ -222,7 +222,7 @@
             session: None,
             prompt_tokens: 0,
             zone: &self.zone,
-            turn: 0,
+            round_robin_index: 0,
             excluded,
             cached_tokens: &|_| 0,
         };
