--- a/crates/beamwall-policy/src/change.rs
+++ b/crates/beamwall-policy/src/change.rs
@@ -1,8 +1,8 @@
-//! What differs between two versions of a policy.
+//! Differences between two versions of a policy.
 //!
-//! A version with thousands of routes mostly differs from the one before in a few. A node that holds an
-//! earlier version is told the parts that are gone, by their fingerprints, and those that are new, whole. The
-//! digest of the result tells whether both sides arrived at the same policy.
+//! Two successive versions with thousands of routes usually differ in a few of them. A node that has an
+//! earlier version therefore receives the fingerprints of removed items and the full content of new ones. The
+//! digest of the result shows whether sender and receiver have the same policy.
 
 use std::collections::HashMap;
 
@@ -12,28 +12,28 @@
 use crate::{CallerLimits, Route, Service, Shared, Tenant, TrafficPolicy};
 
 quick_error! {
-    /// Why a change cannot be applied.
+    /// Why a change could not be applied.
     #[derive(Debug, PartialEq, Eq)]
     pub enum ChangeError {
-        /// It starts from another version.
+        /// The change starts from another version than the one it was applied to.
         BaseMismatch(base: u64, held: u64) {
             display("the change starts from version {}, version {} is held", base, held)
         }
-        /// The result is not the policy that the change was made from.
+        /// The digest of the result differs from that of the policy that the change leads to.
         DigestMismatch(version: u64) {
             display("the change to version {} gave another policy than it was made from", version)
         }
     }
 }
 
-/// What differs between two versions.
+/// Differences between two versions of a policy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PolicyChange {
-    /// Version that it starts from; 0 for the empty policy.
+    /// Version that the change starts from; 0 for the empty policy.
     pub base: u64,
-    /// Version that it leads to.
+    /// Version that the change leads to.
     pub version: u64,
-    /// Digest of that version ([`TrafficPolicy::digest`]).
+    /// Digest of the version that the change leads to ([`TrafficPolicy::digest`]).
     pub digest: u64,
     routes: ListChange<Route>,
     services: ListChange<Service>,
@@ -41,18 +41,18 @@
     caller_limits: CallerLimits,
 }
 
-/// What differs between two lists of parts.
+/// Differences between two lists of items.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "T: Serialize + Deserialize<'de>", serialize = "T: Serialize"))]
 struct ListChange<T> {
-    /// Fingerprints of parts that are gone.
+    /// Fingerprints of removed items.
     gone: Vec<u64>,
-    /// Parts that are new or changed.
+    /// Items that are new or changed.
     new: Vec<Shared<T>>,
 }
 
 impl PolicyChange {
-    /// What leads from `base` to `newest`.
+    /// Computes the change from `base` to `newest`.
     pub fn between(base: &TrafficPolicy, newest: &TrafficPolicy) -> Self {
         Self {
             base: base.version,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The policy that it leads to.
+    /// Applies the change to `base` and verifies the digest of the result.
     pub fn apply(&self, base: &TrafficPolicy) -> Result<TrafficPolicy, ChangeError> {
         if base.version != self.base {
             return Err(ChangeError::BaseMismatch(self.base, base.version));
@@ -86,7 +86,7 @@
 }
 
 impl<T> ListChange<T> {
-    /// Equal parts may stand in a list more than once, so they are counted.
+    /// Computes the differences. A list may contain equal items, so occurrences are counted.
     fn between(base: &[Shared<T>], newest: &[Shared<T>]) -> Self {
         let mut base_counts: HashMap<u64, usize> = HashMap::new();
         for item in base {
@@ -123,7 +123,7 @@
 }
 
 impl TrafficPolicy {
-    /// A digest of the whole policy, whatever the order of its parts.
+    /// Digest of the whole policy, independent of the order of its items.
     pub fn digest(&self) -> u64 {
         let limits = Shared::new(self.caller_limits);
         let routes = self.routes.iter().map(Shared::fingerprint);
@@ -133,7 +133,8 @@
         items.fold(0, u64::wrapping_add)
     }
 
-    /// The same policy, whose parts are those of `earlier` wherever they are equal.
+    /// Replaces routes and tenants that are equal to those of `earlier` by them, so that both versions share
+    /// the memory.
     pub fn sharing_with(mut self, earlier: &Self) -> Self {
         reuse_equal(&mut self.routes, &earlier.routes);
         reuse_equal(&mut self.tenants, &earlier.tenants);
--- a/crates/beamwall-policy/src/history.rs
+++ b/crates/beamwall-policy/src/history.rs
@@ -1,15 +1,16 @@
-//! The last versions of the policy that a node held, from which it tells others what changed.
+//! Recent versions of the policy at a node, from which it computes changes for other nodes.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::{PolicyChange, TrafficPolicy};
 
-/// Versions that are kept: what a busy operator writes within the time that a node may be behind. A version
-/// costs 16 bytes a route beyond its own new routes, since versions share their parts.
+/// Number of versions kept. It covers the versions that an operator writes at a high rate within the time
+/// that a node may be behind. Since versions share equal items, each costs 16 bytes per route in addition to
+/// the routes that are new in it.
 const MAX_VERSIONS: usize = 32;
 
-/// The last versions that a node held, the newest last.
+/// The most recent versions at a node, the newest last.
 #[derive(Debug, Default)]
 pub struct PolicyHistory {
     versions: Mutex<VecDeque<Arc<TrafficPolicy>>>,
@@ -20,7 +21,7 @@
         self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps a version that is newer than all kept.
+    /// Adds a version, which must be newer than all in the history. Drops the oldest one when full.
     pub fn push(&self, policy: Arc<TrafficPolicy>) {
         let mut versions = self.lock();
         if versions.len() == MAX_VERSIONS {
@@ -29,13 +30,14 @@
         versions.push_back(policy);
     }
 
-    /// The newest version kept.
+    /// Number of the newest version.
     pub fn newest_version(&self) -> Option<u64> {
         self.lock().back().map(|policy| policy.version)
     }
 
-    /// What leads from the version that another node holds to the newest: the whole policy where that version
-    /// is not kept, or is not the same here. `None` before any version.
+    /// Computes the change from the version that another node has to the newest. It contains the whole policy
+    /// if that version is not in the history or has another digest here. Returns `None` if the history is
+    /// empty.
     pub fn change_from(&self, version: u64, digest: u64) -> Option<PolicyChange> {
         let (base, newest) = {
             let versions = self.lock();
--- a/crates/beamwall-policy/src/index.rs
+++ b/crates/beamwall-policy/src/index.rs
@@ -1,4 +1,4 @@
-//! A policy compiled for look-ups.
+//! Index of a policy for lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 
 use crate::{Route, Service, Shared, Tenant, TrafficPolicy};
 
-/// A shared tenant of one version.
+/// Shared reference to a tenant of one policy version.
 pub type TenantRef = Arc<Tenant>;
 
-/// One version of the policy with look-ups by host, path, key and service.
+/// One version of the policy, indexed by host, path, API key and service.
 #[derive(Debug, Default)]
 pub struct PolicyIndex {
     policy: Arc<TrafficPolicy>,
-    /// Routes of a host, longest prefix first.
+    /// Routes of each host, longest path prefix first.
     routes_by_host: HashMap<String, Vec<Arc<Route>>>,
     tenants_by_key: HashMap<String, TenantRef>,
     services: HashMap<ServiceName, Arc<Service>>,
 }
 
 impl PolicyIndex {
-    /// Compiles a policy.
+    /// Builds the index of a policy.
     pub fn new(policy: impl Into<Arc<TrafficPolicy>>) -> Self {
         let policy = policy.into();
         let mut routes_by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
@@ -42,35 +42,35 @@
         Self { policy, routes_by_host, tenants_by_key, services }
     }
 
-    /// The policy as told.
+    /// The indexed policy, as received.
     pub fn policy(&self) -> &Arc<TrafficPolicy> {
         &self.policy
     }
 
-    /// The version; 0 before the first.
+    /// The policy version; 0 before the first policy was received.
     pub fn version(&self) -> u64 {
         self.policy.version
     }
 
-    /// The route of a request: of the host's routes, the one with the longest matching prefix.
-    /// `host` may carry a port and any letter case.
+    /// Looks up the route of a request: the route of the host with the longest matching path prefix.
+    /// `host` may include a port and is compared without regard to letter case.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.routes_by_host.get(&name)?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The tenant that holds a key.
+    /// Looks up the tenant that an API key belongs to.
     pub fn tenant_by_key(&self, key: &str) -> Option<&TenantRef> {
         self.tenants_by_key.get(key)
     }
 
-    /// Whether requests on routes that are not public need a key.
+    /// Whether requests on routes that are not public need an API key.
     pub fn needs_keys(&self) -> bool {
         !self.policy.tenants.is_empty()
     }
 
-    /// A service by name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name).map(Arc::as_ref)
     }
--- a/crates/beamwall-policy/src/lib.rs
+++ b/crates/beamwall-policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The traffic policy: which requests a deployment accepts and where they may go.
+//! The traffic policy: which requests a deployment accepts and to which services they are routed.
 //!
-//! A [`TrafficPolicy`] is one version of the operator's decisions in typed form; it is what nodes
-//! tell each other. A [`PolicyIndex`] is the same version compiled for look-ups by host, path and
-//! key. Neither is ever changed: a newer version replaces the whole. A [`PolicyChange`] is what differs
-//! between two versions, and a [`PolicyArchive`] the last versions that a node held.
+//! A [`TrafficPolicy`] is one version of the operator's settings in typed form; nodes exchange it with each
+//! other. A [`PolicyIndex`] is the same version, indexed for lookups by host, path and API key. Both are
+//! immutable: a newer version replaces the whole. A [`PolicyChange`] contains the differences between two
+//! versions, and a [`PolicyHistory`] the most recent versions at a node.
 
 pub mod change;
 pub mod history;
@@ -23,31 +23,31 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One version of what the operator decided.
+/// One version of the traffic policy that the operator has set.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficPolicy {
-    /// Rises with every change; 0 before the first.
+    /// Version number, which increases with every change; 0 before the first.
     pub version: u64,
-    /// The routes.
+    /// Routes by host and path.
     pub routes: Vec<Shared<Route>>,
-    /// The services that routes lead to.
+    /// Services that the routes refer to.
     pub services: Vec<Shared<Service>>,
-    /// The tenants; without any, requests carry no key.
+    /// Tenants; if there are none, requests need no API key.
     pub tenants: Vec<Shared<Tenant>>,
-    /// What a caller may send.
+    /// Limits for connections and requests of callers.
     pub caller_limits: CallerLimits,
 }
 
-/// What a caller may send and how long it may take.
+/// Size and time limits for connections and requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Largest request head in bytes.
     pub head_bytes: usize,
     /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// Longest time to receive a request head, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub head_ms: u64,
-    /// Longest rest of a connection between two requests, in milliseconds.
+    /// Longest idle time of a connection between two requests, in milliseconds.
     pub idle_ms: u64,
 }
 
--- a/crates/beamwall-policy/src/service.rs
+++ b/crates/beamwall-policy/src/service.rs
@@ -1,45 +1,46 @@
-//! A service: a group of equal back ends.
+//! Services: groups of interchangeable back ends.
 
 use std::collections::BTreeMap;
 
 use beamwall_model::{ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A service.
+/// A group of interchangeable back ends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one back end accepts from all callers together.
+    /// Connections that one back end accepts from all callers in total.
     pub connection_limit: u32,
-    /// What its model engines can do; absent for plain services.
+    /// Capacity of its model engines; `None` for plain services.
     pub engine: Option<EngineTraits>,
-    /// How many back ends each zone may hold; absent where the number is not ours to set.
+    /// Limits for the number of back ends in each zone; `None` if Beamwall does not scale the service.
     pub scaling: Option<ScalingLimits>,
 }
 
-/// What a model engine of a service can do.
+/// Capacity of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// Requests at once.
+    /// Requests that run at the same time.
     pub slots: u32,
-    /// Memory for running requests and kept prompt parts, in tokens.
+    /// Memory for running requests and cached prompt prefixes, in tokens.
     pub memory_tokens: u64,
-    /// Tokens that one event of a stream carries.
+    /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// How many back ends a zone may hold and what they cost.
+/// Limits for the number of back ends in a zone, and their prices.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScalingLimits {
-    /// Fewest in a zone, lasting and reclaimable together.
+    /// Minimum number in a zone, on-demand and reclaimable together.
     pub minimum: u32,
-    /// Most in a zone, lasting and reclaimable together.
+    /// Maximum number in a zone, on-demand and reclaimable together.
     pub maximum: u32,
-    /// Time from an order to the first request, in milliseconds.
+    /// Time from a capacity order until a back end serves its first request, in milliseconds.
     pub boot_ms: u64,
-    /// Price of a reclaimable back end as a part of a lasting one's; absent where there are none.
+    /// Price of a reclaimable back end as a fraction of the on-demand price; `None` if there are no
+    /// reclaimable ones.
     pub reclaimable_price: Option<f64>,
-    /// Price of one back end for one second, by zone.
+    /// Price of one back end per second, by zone.
     pub zone_prices: BTreeMap<ZoneName, f64>,
 }
--- a/crates/beamwall-policy/src/shared.rs
+++ b/crates/beamwall-policy/src/shared.rs
@@ -1,4 +1,4 @@
-//! Parts of a policy that several versions hold in common.
+//! Policy items that several versions of a policy share in memory.
 
 use std::ops::Deref;
 use std::sync::Arc;
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A part of a policy, kept once in memory by all versions that hold it, with a fingerprint of its content.
+/// A reference-counted policy item with a fingerprint of its content. All versions that contain the item
+/// share it.
 #[derive(Debug)]
 pub struct Shared<T> {
     content: Arc<T>,
@@ -14,21 +15,21 @@
 }
 
 impl<T: Serialize> Shared<T> {
-    /// Shares a part.
+    /// Wraps an item and computes its fingerprint.
     pub fn new(content: T) -> Self {
-        // A part is a plain structure of texts and numbers, which always has a JSON form.
+        // Policy items contain only strings, numbers and collections of them, which always serialize to JSON.
         let text = serde_json::to_vec(&content).unwrap_or_default();
         Self { content: Arc::new(content), fingerprint: xxh3_64(&text) }
     }
 }
 
 impl<T> Shared<T> {
-    /// A hash of the content: equal parts have equal ones.
+    /// Hash of the content; equal items have equal fingerprints.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// The content, to be kept beyond the policy.
+    /// Returns a reference to the content that may outlive the policy.
     pub fn content(&self) -> Arc<T> {
         self.content.clone()
     }
--- a/crates/beamwall-policy/src/tenant.rs
+++ b/crates/beamwall-policy/src/tenant.rs
@@ -1,23 +1,23 @@
-//! A tenant: who may send requests, and how much.
+//! Tenants: the API keys and the rate limit of a group of callers.
 
 use beamwall_model::TenantName;
 use serde::{Deserialize, Serialize};
 
-/// A tenant.
+/// A tenant of the deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// Keys that its requests may carry.
+    /// API keys that identify its requests.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 is the most urgent.
+    /// Rank that is compared before the rank of the route; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// Work allowed a second over all nodes; 0 for no limit.
+    /// Work allowed per second over all nodes; 0 means unlimited.
     pub rate_per_second: f64,
-    /// Work allowed at once after a quiet time.
+    /// Work allowed at once after an idle period.
     pub burst: f64,
-    /// Whether work is counted in tokens; otherwise each request counts 1.
+    /// Whether work is counted in tokens; otherwise each request counts as 1.
     pub counts_tokens: bool,
-    /// Tokens that a request without a token count is charged.
+    /// Tokens charged for a request that has no token count.
     pub plain_tokens: u32,
 }
--- a/crates/beamwall-policy/tests/change.rs
+++ b/crates/beamwall-policy/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes between versions, against the versions themselves.
+//! Tests of policy changes: applying a change must give the same policy as the newer version itself.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use beamwall_policy::{ChangeError, PolicyChange, PolicyHistory, Route, Shared, Tenant, TrafficPolicy};
 use beamwall_seeds::on_seeds;
 
-/// Names of routes and tenants of random policies: few, so that versions have some in common.
+/// Names of routes and tenants in random policies; few, so that two versions have some in common.
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 fn route(name: &str, hold_limit_ms: u64) -> Route {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A policy of random routes and tenants, the same ones more than once among them.
+/// Creates a policy with random routes and tenants, some of which occur more than once.
 fn random_policy(version: u64, random: &mut Unstructured<'_>) -> Result<TrafficPolicy> {
     let mut policy = TrafficPolicy { version, ..TrafficPolicy::default() };
     for _ in 0..random.int_in_range(0..=8)? {
@@ -35,14 +35,14 @@
         policy.routes.push(Shared::new(route));
     }
     for _ in 0..random.int_in_range(0..=4)? {
-        // Long decimals, as rates worked out by programs have.
+        // Rates with many decimals, as computed rates have, so that the test covers rounding in JSON.
         let rate = f64::from(random.int_in_range(1..=99_999_u32)?) / 7.0;
         policy.tenants.push(Shared::new(tenant(random.choose(&NAMES)?, rate)));
     }
     Ok(policy)
 }
 
-/// What is in a policy, whatever the order.
+/// Content of a policy, independent of the order of its items.
 fn sorted_items(policy: &TrafficPolicy) -> (u64, Vec<String>) {
     let routes = policy.routes.iter().map(|route| format!("{:?}", **route));
     let tenants = policy.tenants.iter().map(|tenant| format!("{:?}", **tenant));
@@ -85,7 +85,7 @@
         newest.routes.push(route("added", 1).into());
         serde_json::to_string(&PolicyChange::between(&base, &newest)).expect("text").len()
     };
-    // Digests and fingerprints have up to 20 digits.
+    // Digests and fingerprints have up to 20 digits, so the sizes may differ by a few bytes.
     assert!(size(5_000).abs_diff(size(10)) < 20, "{} and {}", size(10), size(5_000));
 }
 
--- a/crates/beamwall-policy/tests/policy.rs
+++ b/crates/beamwall-policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and splits of a policy.
+//! Tests of the policy index: route lookup, API keys and weighted splits.
 
 mod support;
 
--- a/crates/beamwall-policy/tests/support/mod.rs
+++ b/crates/beamwall-policy/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests share.
+//! Helpers shared by the tests.
 
 use beamwall_policy::{Route, RouteKind, WeightedService};
 
-/// A route of the host that the tests ask for.
+/// Creates a route of `a.example`, the host of the test requests.
 pub fn route(name: &str, prefix: &str) -> Route {
     Route {
         name: name.to_owned(),
