--- a/crates/beamwall-fleet/src/backend.rs
+++ b/crates/beamwall-fleet/src/backend.rs
@@ -1,4 +1,4 @@
-//! A back end and what polls say of it.
+//! Back ends and the results of polling them.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 use beamwall_store::Machine;
 use tokio::time::Instant;
 
-/// A model engine or an application back end, as the machine list gives it.
+/// A model engine or an application back end, as stated in the machine list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Backend {
-    /// Name.
+    /// Identifier of the back end.
     pub id: BackendId,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// Address that the back end listens on.
     pub address: SocketAddr,
     /// Service it runs.
     pub service: ServiceName,
     /// Machine class.
     pub class: String,
-    /// Whether the cloud may take its machine back.
+    /// Whether the cloud may reclaim the machine.
     pub reclaimable: bool,
-    /// Price in millionths of the currency an hour.
+    /// Price per hour in millionths of the currency unit.
     pub price_micros_per_hour: u64,
 }
 
@@ -46,11 +46,11 @@
     pub backend: BackendId,
     /// The node that polled it.
     pub observer: NodeId,
-    /// Number of the poll at that node; newer is larger.
+    /// Sequence number of the poll at the observer; a newer poll has a larger one.
     pub sequence: u64,
-    /// When this node learned of it.
+    /// When this node polled the back end or received the report from a peer.
     pub received_at: Instant,
-    /// Whether it answered.
+    /// Whether the back end responded.
     pub up: bool,
     /// Running requests.
     pub running: u32,
@@ -58,13 +58,13 @@
     pub waiting: u32,
     /// Prompt tokens not yet computed.
     pub queued_tokens: u32,
-    /// Prompt tokens computed a second; 0 when unknown.
+    /// Prompt tokens computed per second; 0 if unknown.
     pub prefill_tokens_per_second: u32,
-    /// Whether it says that it is leaving.
+    /// Whether the back end reports that it is leaving.
     pub leaving: bool,
-    /// Model loaded; empty for plain services.
+    /// Loaded model; empty for plain services.
     pub model: String,
-    /// Version loaded.
+    /// Version of the loaded model.
     pub version: String,
 }
 
@@ -73,7 +73,8 @@
 /// Prompt tokens in one step of a quantised load.
 const TOKENS_STEP: u32 = 2_048;
 
-/// A report without what changes all the time: equal ones need not be told again soon.
+/// A report with its load rounded to coarse steps. A report that is equal in this form to the last one sent
+/// need not be sent again soon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuantisedReport {
     up: bool,
@@ -84,7 +85,7 @@
 }
 
 impl BackendReport {
-    /// The report in coarse steps.
+    /// Rounds the load to coarse steps and drops the values that change in every report.
     pub fn quantise(&self) -> QuantisedReport {
         QuantisedReport {
             up: self.up,
@@ -94,7 +95,7 @@
             loaded: (self.model.clone(), self.version.clone()),
         }
     }
-    /// The report of a poll that got no answer.
+    /// Creates the report of a failed poll.
     pub fn down(backend: BackendId, observer: NodeId, sequence: u64) -> Self {
         Self {
             backend,
--- a/crates/beamwall-fleet/src/fleet.rs
+++ b/crates/beamwall-fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The `Fleet` aggregate: every back end with its reports and marks.
+//! The `Fleet` aggregate: all back ends with their reports and leaving marks.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,27 +13,27 @@
 use crate::local_load::LocalLoad;
 use crate::view::{BackendView, FleetView};
 
-/// Failed polls in a row, seen by any observers, after which a back end is down.
+/// Consecutive failed polls, by any observers, after which a back end is considered down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
-/// How much older than its arrival a load report may be.
+/// Maximum age of a load report when it is received.
 const REPORT_LAG: Duration = Duration::from_millis(700);
-/// Own counts remembered for matching against late reports.
+/// Past counts of own requests kept for comparison with delayed reports.
 const MAX_OWN_COUNTS: usize = 16;
-/// A back end that left the machine list and does not answer is forgotten after this time.
+/// Time after which an unresponsive back end that is no longer in the machine list is removed.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(10);
 
-/// A change worth logging and telling others.
+/// A change that is logged and sent to other nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetChange {
-    /// A back end began leaving.
+    /// A source reported a back end as leaving.
     Leaving(BackendId, LeavingSource),
-    /// A back end stopped answering.
+    /// A back end stopped responding to polls.
     Down(BackendId),
-    /// A back end answers.
+    /// A back end responds to polls for the first time or again.
     Up(BackendId, ZoneName),
 }
 
-/// What this node had open at a back end at one moment.
+/// Open requests and pending tokens of this node at a back end at one time.
 #[derive(Debug, Clone, Copy)]
 struct OwnCount {
     at: Instant,
@@ -54,7 +54,7 @@
     unlisted_since: Instant,
 }
 
-/// Every back end with its reports and marks.
+/// All back ends with their reports and leaving marks.
 #[derive(Debug, Default)]
 pub struct Fleet {
     entries: BTreeMap<BackendId, Entry>,
@@ -62,7 +62,8 @@
 }
 
 impl Fleet {
-    /// Takes the machine list. It lags: a machine that vanished from it stays while it answers.
+    /// Applies the machine list. The list lags behind, so a machine that is missing from it is kept while its
+    /// back end responds to polls.
     pub fn apply_machines(&mut self, machines: &[Machine], now: Instant) -> Vec<FleetChange> {
         for entry in self.entries.values_mut().filter(|entry| entry.listed) {
             let is_listed = machines.iter().any(|machine| machine.id == entry.backend.id);
@@ -103,8 +104,8 @@
         self.entries.insert(machine.id.clone(), entry);
     }
 
-    /// Takes a poll's result, from this node or from a peer. `None` when it is older than one that
-    /// the same observer gave, or its back end is not known.
+    /// Applies a poll result of this node or of a peer. Returns `None` if it is not newer than the last one
+    /// from the same observer, or if the back end is unknown.
     pub fn apply_report(&mut self, report: BackendReport) -> Option<Vec<FleetChange>> {
         let entry = self.entries.get_mut(&report.backend)?;
         let newest = entry.newest_by_observer.entry(report.observer.to_string()).or_insert(0);
@@ -128,7 +129,8 @@
         Some(changes)
     }
 
-    /// Marks a back end as leaving. A mark on one not yet listed is kept for when it is.
+    /// Marks a back end as leaving. A mark for a back end that is not listed yet is kept and applied when it
+    /// is listed.
     pub fn mark_leaving(
         &mut self,
         id: &BackendId,
@@ -142,14 +144,14 @@
         leaving.mark(source, deadline).then(|| FleetChange::Leaving(id.clone(), source))
     }
 
-    /// Takes back a mark of the plan.
+    /// Removes the mark that a source has set on a back end.
     pub fn unmark(&mut self, id: &BackendId, source: LeavingSource) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.leaving.unmark(source);
         }
     }
 
-    /// Marks to tell others: back end, source and deadline.
+    /// Leaving marks to send to other nodes: back end, source and deadline.
     pub fn leaving_marks(&self) -> Vec<(BackendId, LeavingSource, Option<Instant>)> {
         let listed = self.entries.iter().map(|(id, entry)| (id, &entry.leaving));
         let all = listed.chain(self.unlisted_marks.iter());
@@ -159,22 +161,22 @@
         .collect()
     }
 
-    /// The back ends, for pollers.
+    /// The back ends to poll.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.entries.values().map(|entry| &entry.backend)
     }
 
-    /// The newest report of every back end that has one.
+    /// The newest successful poll of each back end that has one.
     pub fn reports(&self) -> impl Iterator<Item = &BackendReport> {
         self.entries.values().filter_map(|entry| entry.report.as_ref())
     }
 
-    /// The newest report of a back end.
+    /// The newest successful poll of a back end.
     pub fn report(&self, id: &BackendId) -> Option<&BackendReport> {
         self.entries.get(id)?.report.as_ref()
     }
 
-    /// An immutable view for the request path.
+    /// Creates an immutable snapshot for the request path.
     pub fn view(&self) -> FleetView {
         FleetView::new(self.entries.values().map(Entry::view).collect())
     }
@@ -194,6 +196,7 @@
         if is_down && !was_down { vec![FleetChange::Down(id)] } else { Vec::new() }
     }
 
+    /// Records the open requests of this node and determines which of them a report received now includes.
     /// The report describes the back end as it was [`REPORT_LAG`] ago.
     fn record_own_load(&mut self, received_at: Instant) {
         let now = OwnCount {
--- a/crates/beamwall-fleet/src/lib.rs
+++ b/crates/beamwall-fleet/src/lib.rs
@@ -1,9 +1,9 @@
 //! Engines, machines and applications: load, health, leaving marks and planning.
 //!
-//! The [`Fleet`] aggregate merges what the machine list, the cloud's notices, the settings tree,
-//! polls and peers say of each back end, and gives out immutable [`FleetView`]s for the request
-//! path. [`plan`](planner::plan) is one function from what is wanted and what exists to what
-//! should be asked of the cloud.
+//! The [`Fleet`] aggregate merges the information of the machine list, the cloud's reclaim notices, the
+//! settings tree, polls and peers about each back end, and provides immutable [`FleetView`]s for the request
+//! path. The function [`plan`](planner::plan) compares the wanted placements with the existing machines and
+//! returns the machines to request from the cloud and to release.
 
 pub mod backend;
 pub mod engine_wire;
--- a/crates/beamwall-fleet/src/order.rs
+++ b/crates/beamwall-fleet/src/order.rs
@@ -1,25 +1,25 @@
-//! Orders to back ends: desired states, fenced by the epoch of the lease under which they are given.
+//! Orders to back ends: desired states, fenced by the epoch of the lease under which they were issued.
 
 use quick_error::quick_error;
 
-/// What a back end shall be.
+/// Desired state of a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Have this model and version loaded.
+    /// The model and version are loaded.
     Load {
-        /// Model.
+        /// Name of the model.
         model: String,
-        /// Version.
+        /// Version of the model.
         version: String,
     },
-    /// Take no new work.
+    /// It is leaving and accepts no new work.
     Leave,
-    /// Take work.
+    /// It accepts work.
     Stay,
 }
 
 impl OrderKind {
-    /// The word used in logs.
+    /// Name used in logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Load { .. } => "load",
@@ -29,30 +29,30 @@
     }
 }
 
-/// An order.
+/// An order to one back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Epoch of the lease.
+    /// Epoch of the lease under which the order was issued.
     pub epoch: u64,
-    /// Revision of the settings that the order carries out.
+    /// Revision of the settings that the order implements.
     pub plan_revision: u64,
-    /// What the back end shall be.
+    /// Desired state of the back end.
     pub kind: OrderKind,
 }
 
 quick_error! {
-    /// Why an order did not take effect.
+    /// Why an order failed or its effect is unknown.
     #[derive(Debug)]
     pub enum OrderError {
-        /// The back end has seen a newer epoch.
+        /// The back end has received an order with a newer epoch.
         Outdated(reason: String) {
             display("order refused as outdated: {}", reason)
         }
-        /// Nothing was sent.
+        /// The request was not sent, so the order had no effect.
         NotSent(reason: String) {
             display("order not sent: {}", reason)
         }
-        /// The answer was lost or not understood; the order may have taken effect.
+        /// The response was lost or unexpected; the order may have taken effect.
         Unknown(reason: String) {
             display("order may have taken effect: {}", reason)
         }
--- a/crates/beamwall-fleet/src/planner.rs
+++ b/crates/beamwall-fleet/src/planner.rs
@@ -1,8 +1,8 @@
-//! The planner: from what is wanted and what exists to what should be asked of the cloud.
+//! Placement planner: computes which machines to request from the cloud and which to release.
 //!
-//! The cheapest set of machines that still holds the wanted replicas after the largest zone is
-//! lost. If the fullest zone holds `c` machines, `replicas + c` are needed in all; every `c` is
-//! tried and the cheapest total taken.
+//! The plan is the cheapest set of machines that still has the wanted number of replicas after the loss of
+//! the zone with the most machines. If that zone has `c` machines, `replicas + c` machines are needed in
+//! total. The planner tries every `c` and takes the cheapest total.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_store::cloud::Offer;
 
-/// A machine as the planner sees it.
+/// A machine that exists or was requested, as input of the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExistingMachine {
-    /// Name.
+    /// Identifier of its back end.
     pub id: BackendId,
     /// Zone.
     pub zone: ZoneName,
     /// Service it runs.
     pub service: ServiceName,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub reclaimable: bool,
-    /// Price in millionths of the currency an hour.
+    /// Price per hour in millionths of the currency unit.
     pub price_micros_per_hour: u64,
 }
 
-/// A machine that should be asked for.
+/// A machine to request from the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineStart {
     /// Service it will run.
@@ -34,33 +34,33 @@
     pub zone: ZoneName,
     /// Machine class.
     pub class: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub reclaimable: bool,
 }
 
-/// What should be asked of the cloud.
+/// Machines to request and to release.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlacementPlan {
-    /// Machines to ask for.
+    /// Machines to request.
     pub starts: Vec<MachineStart>,
-    /// Machines that are not needed.
+    /// Machines that are no longer needed.
     pub stops: Vec<BackendId>,
 }
 
-/// What the planner decides from.
+/// Input of the planner.
 #[derive(Debug, Clone, Default)]
 pub struct PlanningInput {
-    /// Placements of the settings tree.
+    /// Placements in the settings tree.
     pub placements: Vec<Placement>,
-    /// Machines that are held and not leaving.
+    /// Machines that exist or were requested and are not leaving.
     pub machines: Vec<ExistingMachine>,
-    /// Prices now.
+    /// Current offers of the cloud with their prices.
     pub offers: Vec<Offer>,
-    /// Zones that lately refused a start, with the reclaimable mark asked for.
+    /// Zones that recently refused a machine, and whether a reclaimable one was requested.
     pub refused: Vec<(ZoneName, bool)>,
 }
 
-/// Makes the plan.
+/// Computes the plan for all placements.
 pub fn plan(input: &PlanningInput) -> PlacementPlan {
     let mut plan = PlacementPlan::default();
     for placement in &input.placements {
@@ -87,8 +87,8 @@
     ensure_minimum_on_demand(input, placement, plan);
 }
 
-/// The cheapest offer of each zone, of the allowed classes; a zone that lately refused reclaimable
-/// machines is offered on demand.
+/// Returns the cheapest offer of each zone among the allowed machine classes. Where a zone recently refused
+/// reclaimable machines, only its on-demand offers count, and vice versa.
 fn cheapest_offers<'a>(input: &'a PlanningInput, placement: &Placement) -> BTreeMap<ZoneName, &'a Offer> {
     let allowed = |offer: &&Offer| {
         let class = placement.machine_classes.is_empty() || placement.machine_classes.contains(&offer.class);
@@ -107,7 +107,8 @@
     cheapest
 }
 
-/// Machines wanted in each zone: the cheapest counts that survive the loss of the fullest zone.
+/// Returns the number of machines wanted in each zone: the cheapest numbers that leave enough replicas after
+/// the loss of the zone with the most machines.
 pub fn machines_by_zone(
     placement: &Placement,
     prices: &BTreeMap<ZoneName, &Offer>,
@@ -133,6 +134,7 @@
     zones.iter().zip(cheapest).map(|((zone, _), count)| ((*zone).clone(), count)).collect()
 }
 
+/// Distributes `total` machines, at most `fullest` in each zone, cheapest zones first.
 fn fill_zones(zones: &[(&ZoneName, u64)], total: usize, fullest: usize) -> Vec<usize> {
     let mut remaining = total;
     let allocate = |_: &(&ZoneName, u64)| {
@@ -167,7 +169,7 @@
     }
 }
 
-/// Makes enough of the starts on demand that the placement's minimum is met.
+/// Changes reclaimable starts to on-demand ones until the placement's on-demand minimum is met.
 fn ensure_minimum_on_demand(input: &PlanningInput, placement: &Placement, plan: &mut PlacementPlan) {
     let retained = |machine: &&ExistingMachine| {
         machine.service == placement.service && !machine.reclaimable && !plan.stops.contains(&machine.id)
--- a/crates/beamwall-fleet/src/view.rs
+++ b/crates/beamwall-fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! Immutable views of the fleet for the request path.
+//! Immutable snapshots of the fleet for the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,45 +9,45 @@
 use crate::backend::{Backend, BackendReport};
 use crate::local_load::LocalLoad;
 
-/// One back end as the request path sees it.
+/// Snapshot of one back end for the request path.
 #[derive(Debug, Clone)]
 pub struct BackendView {
-    /// What it is.
+    /// Identity and properties of the back end.
     pub backend: Backend,
-    /// The newest report; `None` before the first poll.
+    /// The newest successful poll; `None` before the first.
     pub report: Option<BackendReport>,
-    /// Whether it is leaving.
+    /// Whether any source reports the back end as leaving.
     pub leaving: bool,
-    /// Whether the plan gives its machine back.
+    /// Whether the placement plan releases its machine.
     pub released: bool,
-    /// When it stops; `None` when it is not leaving or waits for its requests.
+    /// When the back end stops; `None` if it is not leaving or stops after its requests have ended.
     pub deadline: Option<Instant>,
-    /// Whether its newest reports say that it does not answer.
+    /// Whether its most recent polls failed.
     pub down: bool,
-    /// What this node has sent to it.
+    /// Open requests of this node at the back end.
     pub load: Arc<LocalLoad>,
 }
 
 impl BackendView {
-    /// Whether it may get new work.
+    /// Whether new requests may be sent to the back end.
     pub fn accepts_work(&self) -> bool {
         !self.leaving && !self.down && self.report.is_some()
     }
 
-    /// Running and waiting requests, with this node's own as they are now.
+    /// Running and waiting requests: the reported ones of other nodes and the current ones of this node.
     pub fn requests(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.running + report.waiting);
         self.load.total_requests(reported)
     }
 
-    /// Prompt tokens not yet computed, with this node's own as they are now.
+    /// Prompt tokens not yet computed: the reported ones of other nodes and the current ones of this node.
     pub fn queued_tokens(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.queued_tokens);
         self.load.total_tokens(reported)
     }
 }
 
-/// All back ends at one moment.
+/// Snapshot of all back ends.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
     by_service: HashMap<ServiceName, Vec<Arc<BackendView>>>,
@@ -55,7 +55,7 @@
 }
 
 impl FleetView {
-    /// A view of these back ends.
+    /// Creates a snapshot of these back ends.
     pub fn new(backends: Vec<BackendView>) -> Self {
         let mut view = Self::default();
         for backend in backends {
@@ -66,12 +66,12 @@
         view
     }
 
-    /// Back ends of a service.
+    /// The back ends of a service.
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<BackendView>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// One back end.
+    /// Looks up a back end by identifier.
     pub fn backend(&self, id: &BackendId) -> Option<&Arc<BackendView>> {
         self.by_id.get(id)
     }
--- a/crates/beamwall-fleet/tests/load.rs
+++ b/crates/beamwall-fleet/tests/load.rs
@@ -1,4 +1,5 @@
-//! A back end's load as seen from one node: late reports of all work, and exact counts of own work.
+//! Tests of a back end's load at one node: delayed reports of all nodes' requests, combined with the exact
+//! count of the node's own requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,7 +70,7 @@
     let mut fleet = fleet(start);
     let load = fleet.view().backend(&BackendId::new("engine")).expect("listed").load.clone();
     let open: Vec<_> = (0..4).map(|_| load.dispatch(10)).collect();
-    // The report that arrives two seconds later says 7: the 4 of this node and 3 of others.
+    // The report received after two seconds states 7 requests: 4 of this node and 3 of other nodes.
     fleet.apply_report(report(2, start + Duration::from_secs(1), 0));
     fleet.apply_report(report(3, start + Duration::from_secs(2), 7));
     assert_eq!(requests(&fleet.view()), 7);
--- a/crates/beamwall-fleet/tests/planner.rs
+++ b/crates/beamwall-fleet/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner against a naive one that tries every spread of machines.
+//! Tests of the planner, among others against a brute-force search over all distributions of machines.
 
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
     prices.iter().enumerate().flat_map(both).collect()
 }
 
-/// The cheapest cost over all spreads that keep `replicas` after the fullest zone is lost.
+/// Lowest cost of all distributions that keep `replicas` machines after the loss of the fullest zone.
 fn brute_force_cost(prices: &[u64], replicas: usize) -> u64 {
     fn search(prices: &[u64], replicas: usize, chosen: &mut Vec<usize>) -> u64 {
         if chosen.len() == prices.len() {
