--- a/crates/beamwall-fleet/src/fleet.rs
+++ b/crates/beamwall-fleet/src/fleet.rs
@@ -187,9 +187,9 @@
         let id = report.backend.clone();
         let was_down = self.failures >= FAILURES_UNTIL_DOWN;
         if report.up {
-            let is_news = was_down || self.report.is_none();
+            let came_up = was_down || self.report.is_none();
             self.failures = 0;
-            return if is_news { vec![FleetChange::Up(id, self.backend.zone.clone())] } else { Vec::new() };
+            return if came_up { vec![FleetChange::Up(id, self.backend.zone.clone())] } else { Vec::new() };
         }
         self.failures = self.failures.saturating_add(1);
         let is_down = self.failures >= FAILURES_UNTIL_DOWN;
