--- a/crates/beamwall-fleet/src/fleet.rs
+++ b/crates/beamwall-fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The `Fleet` aggregate: every back end with its reports and marks.
+//! The `Fleet` aggregate: all back ends with their reports and leaving marks.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,31 +9,31 @@
 use tokio::time::Instant;
 
 use crate::backend::{Backend, BackendReport};
-use crate::leaving::{Leaving, LeavingSource};
+use crate::leaving::{LeavingMarks, LeavingSource};
 use crate::local_load::LocalLoad;
 use crate::view::{BackendView, FleetView};
 
-/// Failed polls in a row, seen by any observers, after which a back end is down.
+/// Consecutive failed polls, by any observers, after which a back end is considered down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
-/// How much older than its arrival a load report may be.
+/// Maximum age of a load report when it is received.
 const REPORT_LAG: Duration = Duration::from_millis(700);
-/// Own counts remembered for matching against late reports.
-const COUNTS_KEPT: usize = 16;
-/// A back end that left the machine list and does not answer is forgotten after this time.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+/// Past counts of own requests kept for comparison with delayed reports.
+const MAX_OWN_COUNTS: usize = 16;
+/// Time after which an unresponsive back end that is no longer in the machine list is removed.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(10);
 
-/// A change worth logging and telling others.
+/// A change that is logged and sent to other nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetChange {
-    /// A back end began leaving.
+    /// A source reported a back end as leaving.
     Leaving(BackendId, LeavingSource),
-    /// A back end stopped answering.
+    /// A back end stopped responding to polls.
     Down(BackendId),
-    /// A back end answers.
+    /// A back end responds to polls for the first time or again.
     Up(BackendId, ZoneName),
 }
 
-/// What this node had open at a back end at one moment.
+/// Open requests and pending tokens of this node at a back end at one time.
 #[derive(Debug, Clone, Copy)]
 struct OwnCount {
     at: Instant,
@@ -47,26 +47,27 @@
     report: Option<BackendReport>,
     newest_by_observer: BTreeMap<String, u64>,
     failures: u32,
-    leaving: Leaving,
+    leaving: LeavingMarks,
     load: Arc<LocalLoad>,
     own_counts: VecDeque<OwnCount>,
     listed: bool,
     unlisted_since: Instant,
 }
 
-/// Every back end with its reports and marks.
+/// All back ends with their reports and leaving marks.
 #[derive(Debug, Default)]
 pub struct Fleet {
     entries: BTreeMap<BackendId, Entry>,
-    early_marks: BTreeMap<BackendId, Leaving>,
+    unlisted_marks: BTreeMap<BackendId, LeavingMarks>,
 }
 
 impl Fleet {
-    /// Takes the machine list. It lags: a machine that vanished from it stays while it answers.
+    /// Applies the machine list. The list lags behind, so a machine that is missing from it is kept while its
+    /// back end responds to polls.
     pub fn apply_machines(&mut self, machines: &[Machine], now: Instant) -> Vec<FleetChange> {
         for entry in self.entries.values_mut().filter(|entry| entry.listed) {
-            let still = machines.iter().any(|machine| machine.id == entry.backend.id);
-            if !still {
+            let is_listed = machines.iter().any(|machine| machine.id == entry.backend.id);
+            if !is_listed {
                 entry.listed = false;
                 entry.unlisted_since = now;
             }
@@ -78,7 +79,7 @@
                 changes.extend(self.mark_leaving(&machine.id, LeavingSource::List, None));
             }
         }
-        self.entries.retain(|_, entry| !entry.is_forgotten(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
         changes
     }
 
@@ -88,7 +89,7 @@
             entry.listed = true;
             return;
         }
-        let leaving = self.early_marks.remove(&machine.id).unwrap_or_default();
+        let leaving = self.unlisted_marks.remove(&machine.id).unwrap_or_default();
         let entry = Entry {
             backend: Backend::from(machine),
             report: None,
@@ -103,8 +104,8 @@
         self.entries.insert(machine.id.clone(), entry);
     }
 
-    /// Takes a poll's result, from this node or from a peer. `None` when it is older than one that
-    /// the same observer gave, or its back end is not known.
+    /// Applies a poll result of this node or of a peer. Returns `None` if it is not newer than the last one
+    /// from the same observer, or if the back end is unknown.
     pub fn apply_report(&mut self, report: BackendReport) -> Option<Vec<FleetChange>> {
         let entry = self.entries.get_mut(&report.backend)?;
         let newest = entry.newest_by_observer.entry(report.observer.to_string()).or_insert(0);
@@ -112,11 +113,11 @@
             return None;
         }
         *newest = report.sequence;
-        let mut changes = entry.note_health(&report);
+        let mut changes = entry.update_health(&report);
         if !report.up {
             return Some(changes);
         }
-        entry.note_own_part(report.learned);
+        entry.record_own_load(report.received_at);
         let id = report.backend.clone();
         let leaving = report.leaving;
         entry.report = Some(report);
@@ -128,7 +129,8 @@
         Some(changes)
     }
 
-    /// Marks a back end as leaving. A mark on one not yet listed is kept for when it is.
+    /// Marks a back end as leaving. A mark for a back end that is not listed yet is kept and applied when it
+    /// is listed.
     pub fn mark_leaving(
         &mut self,
         id: &BackendId,
@@ -137,80 +139,84 @@
     ) -> Option<FleetChange> {
         let leaving = match self.entries.get_mut(id) {
             Some(entry) => &mut entry.leaving,
-            None => self.early_marks.entry(id.clone()).or_default(),
+            None => self.unlisted_marks.entry(id.clone()).or_default(),
         };
         leaving.mark(source, deadline).then(|| FleetChange::Leaving(id.clone(), source))
     }
 
-    /// Takes back a mark of the plan.
+    /// Removes the mark that a source has set on a back end.
     pub fn unmark(&mut self, id: &BackendId, source: LeavingSource) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.leaving.unmark(source);
         }
     }
 
-    /// Marks to tell others: back end, source and deadline.
+    /// Leaving marks to send to other nodes: back end, source and deadline.
     pub fn leaving_marks(&self) -> Vec<(BackendId, LeavingSource, Option<Instant>)> {
         let listed = self.entries.iter().map(|(id, entry)| (id, &entry.leaving));
-        let all = listed.chain(self.early_marks.iter());
+        let all = listed.chain(self.unlisted_marks.iter());
         all.flat_map(|(id, leaving)| {
             leaving.sources().map(move |(source, deadline)| (id.clone(), source, deadline))
         })
         .collect()
     }
 
-    /// The back ends, for pollers.
+    /// The back ends to poll.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.entries.values().map(|entry| &entry.backend)
     }
 
-    /// The newest report of every back end that has one.
+    /// The newest successful poll of each back end that has one.
     pub fn reports(&self) -> impl Iterator<Item = &BackendReport> {
         self.entries.values().filter_map(|entry| entry.report.as_ref())
     }
 
-    /// The newest report of a back end.
+    /// The newest successful poll of a back end.
     pub fn report(&self, id: &BackendId) -> Option<&BackendReport> {
         self.entries.get(id)?.report.as_ref()
     }
 
-    /// An immutable view for the request path.
+    /// Creates an immutable snapshot for the request path.
     pub fn view(&self) -> FleetView {
         FleetView::new(self.entries.values().map(Entry::view).collect())
     }
 }
 
 impl Entry {
-    fn note_health(&mut self, report: &BackendReport) -> Vec<FleetChange> {
+    fn update_health(&mut self, report: &BackendReport) -> Vec<FleetChange> {
         let id = report.backend.clone();
         let was_down = self.failures >= FAILURES_UNTIL_DOWN;
         if report.up {
-            let is_news = was_down || self.report.is_none();
+            let came_up = was_down || self.report.is_none();
             self.failures = 0;
-            return if is_news { vec![FleetChange::Up(id, self.backend.zone.clone())] } else { Vec::new() };
+            return if came_up { vec![FleetChange::Up(id, self.backend.zone.clone())] } else { Vec::new() };
         }
         self.failures = self.failures.saturating_add(1);
         let is_down = self.failures >= FAILURES_UNTIL_DOWN;
         if is_down && !was_down { vec![FleetChange::Down(id)] } else { Vec::new() }
     }
 
+    /// Records the open requests of this node and determines which of them a report received now includes.
     /// The report describes the back end as it was [`REPORT_LAG`] ago.
-    fn note_own_part(&mut self, learned: Instant) {
-        let now =
-            OwnCount { at: learned, requests: self.load.open_requests(), tokens: self.load.pending_tokens() };
+    fn record_own_load(&mut self, received_at: Instant) {
+        let now = OwnCount {
+            at: received_at,
+            requests: self.load.open_requests(),
+            tokens: self.load.pending_tokens(),
+        };
         self.own_counts.push_back(now);
-        if self.own_counts.len() > COUNTS_KEPT {
+        if self.own_counts.len() > MAX_OWN_COUNTS {
             self.own_counts.pop_front();
         }
-        let old_enough = |count: &&OwnCount| learned.duration_since(count.at) >= REPORT_LAG;
-        if let Some(then) = self.own_counts.iter().rev().find(old_enough) {
-            self.load.set_reported(then.requests, then.tokens);
+        let old_enough = |count: &&OwnCount| received_at.duration_since(count.at) >= REPORT_LAG;
+        if let Some(at_report) = self.own_counts.iter().rev().find(old_enough) {
+            self.load.set_reported(at_report.requests, at_report.tokens);
         }
     }
 
-    fn is_forgotten(&self, now: Instant) -> bool {
-        let silent = self.failures >= FAILURES_UNTIL_DOWN || self.report.is_none();
-        !self.listed && silent && now.duration_since(self.unlisted_since) >= FORGET_AFTER
+    fn is_expired(&self, now: Instant) -> bool {
+        let unresponsive = self.failures >= FAILURES_UNTIL_DOWN || self.report.is_none();
+        !self.listed && unresponsive && now.duration_since(self.unlisted_since) >= UNLISTED_RETENTION
     }
 
     fn view(&self) -> BackendView {
--- a/crates/beamwall-fleet/src/planner.rs
+++ b/crates/beamwall-fleet/src/planner.rs
@@ -1,8 +1,8 @@
-//! The planner: from what is wanted and what exists to what should be asked of the cloud.
+//! Placement planner: computes which machines to request from the cloud and which to release.
 //!
-//! The cheapest set of machines that still holds the wanted replicas after the largest zone is
-//! lost. If the fullest zone holds `c` machines, `replicas + c` are needed in all; every `c` is
-//! tried and the cheapest total taken.
+//! The plan is the cheapest set of machines that still has the wanted number of replicas after the loss of
+//! the zone with the most machines. If that zone has `c` machines, `replicas + c` machines are needed in
+//! total. The planner tries every `c` and takes the cheapest total.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_store::cloud::Offer;
 
-/// A machine as the planner sees it.
+/// A machine that exists or was requested, as input of the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldMachine {
-    /// Name.
+pub struct ExistingMachine {
+    /// Identifier of its back end.
     pub id: BackendId,
     /// Zone.
     pub zone: ZoneName,
     /// Service it runs.
     pub service: ServiceName,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub reclaimable: bool,
-    /// Price in millionths of the currency an hour.
+    /// Price per hour in millionths of the currency unit.
     pub price_micros_per_hour: u64,
 }
 
-/// A machine that should be asked for.
+/// A machine to request from the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineStart {
     /// Service it will run.
@@ -34,33 +34,33 @@
     pub zone: ZoneName,
     /// Machine class.
     pub class: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub reclaimable: bool,
 }
 
-/// What should be asked of the cloud.
+/// Machines to request and to release.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlacementPlan {
-    /// Machines to ask for.
+    /// Machines to request.
     pub starts: Vec<MachineStart>,
-    /// Machines that are not needed.
+    /// Machines that are no longer needed.
     pub stops: Vec<BackendId>,
 }
 
-/// What the planner decides from.
+/// Input of the planner.
 #[derive(Debug, Clone, Default)]
 pub struct PlanningInput {
-    /// Placements of the settings tree.
+    /// Placements in the settings tree.
     pub placements: Vec<Placement>,
-    /// Machines that are held and not leaving.
-    pub machines: Vec<HeldMachine>,
-    /// Prices now.
+    /// Machines that exist or were requested and are not leaving.
+    pub machines: Vec<ExistingMachine>,
+    /// Current offers of the cloud with their prices.
     pub offers: Vec<Offer>,
-    /// Zones that lately refused a start, with the reclaimable mark asked for.
+    /// Zones that recently refused a machine, and whether a reclaimable one was requested.
     pub refused: Vec<(ZoneName, bool)>,
 }
 
-/// Makes the plan.
+/// Computes the plan for all placements.
 pub fn plan(input: &PlanningInput) -> PlacementPlan {
     let mut plan = PlacementPlan::default();
     for placement in &input.placements {
@@ -74,26 +74,27 @@
     let wanted = machines_by_zone(placement, &prices);
     for zone in &placement.zones {
         let count = wanted.get(zone).copied().unwrap_or(0);
-        let held: Vec<&HeldMachine> = input
+        let existing: Vec<&ExistingMachine> = input
             .machines
             .iter()
             .filter(|machine| machine.service == placement.service && &machine.zone == zone)
             .collect();
-        add_stops(&held, count, plan);
+        add_stops(&existing, count, plan);
         if let Some(offer) = prices.get(zone) {
-            add_starts(placement, offer, count.saturating_sub(held.len()), plan);
+            add_starts(placement, offer, count.saturating_sub(existing.len()), plan);
         }
     }
-    raise_on_demand(input, placement, plan);
+    ensure_minimum_on_demand(input, placement, plan);
 }
 
-/// The cheapest offer of each zone, of the allowed classes; a zone that lately refused reclaimable
-/// machines is offered on demand.
+/// Returns the cheapest offer of each zone among the allowed machine classes. Where a zone recently refused
+/// reclaimable machines, only its on-demand offers count, and vice versa.
 fn cheapest_offers<'a>(input: &'a PlanningInput, placement: &Placement) -> BTreeMap<ZoneName, &'a Offer> {
     let allowed = |offer: &&Offer| {
         let class = placement.machine_classes.is_empty() || placement.machine_classes.contains(&offer.class);
-        let refused =
-            input.refused.iter().any(|(zone, kind)| *zone == offer.zone && *kind == offer.reclaimable);
+        let refused = input.refused.iter().any(|(zone, refused_reclaimable)| {
+            *zone == offer.zone && *refused_reclaimable == offer.reclaimable
+        });
         class && placement.zones.contains(&offer.zone) && !refused
     };
     let mut cheapest: BTreeMap<ZoneName, &Offer> = BTreeMap::new();
@@ -106,7 +107,8 @@
     cheapest
 }
 
-/// Machines wanted in each zone: the cheapest counts that survive the loss of the fullest zone.
+/// Returns the number of machines wanted in each zone: the cheapest numbers that leave enough replicas after
+/// the loss of the zone with the most machines.
 pub fn machines_by_zone(
     placement: &Placement,
     prices: &BTreeMap<ZoneName, &Offer>,
@@ -126,29 +128,30 @@
     if zones.len() == 1 {
         return BTreeMap::from([(zones[0].0.clone(), replicas)]);
     }
-    let smallest = replicas.div_ceil(zones.len() - 1);
-    let candidates = (smallest..=replicas).map(|fullest| spread(&zones, replicas + fullest, fullest));
+    let min_fullest = replicas.div_ceil(zones.len() - 1);
+    let candidates = (min_fullest..=replicas).map(|fullest| fill_zones(&zones, replicas + fullest, fullest));
     let cheapest = candidates.min_by_key(|counts| cost(&zones, counts)).unwrap_or_default();
     zones.iter().zip(cheapest).map(|((zone, _), count)| ((*zone).clone(), count)).collect()
 }
 
-fn spread(zones: &[(&ZoneName, u64)], total: usize, fullest: usize) -> Vec<usize> {
-    let mut left = total;
-    let take = |_: &(&ZoneName, u64)| {
-        let count = left.min(fullest);
-        left -= count;
+/// Distributes `total` machines, at most `fullest` in each zone, cheapest zones first.
+fn fill_zones(zones: &[(&ZoneName, u64)], total: usize, fullest: usize) -> Vec<usize> {
+    let mut remaining = total;
+    let allocate = |_: &(&ZoneName, u64)| {
+        let count = remaining.min(fullest);
+        remaining -= count;
         count
     };
-    zones.iter().map(take).collect()
+    zones.iter().map(allocate).collect()
 }
 
 fn cost(zones: &[(&ZoneName, u64)], counts: &[usize]) -> u64 {
     zones.iter().zip(counts).map(|((_, price), count)| price * *count as u64).sum()
 }
 
-fn add_stops(held: &[&HeldMachine], wanted: usize, plan: &mut PlacementPlan) {
-    let excess = held.len().saturating_sub(wanted);
-    let mut by_price: Vec<&&HeldMachine> = held.iter().collect();
+fn add_stops(existing: &[&ExistingMachine], wanted: usize, plan: &mut PlacementPlan) {
+    let excess = existing.len().saturating_sub(wanted);
+    let mut by_price: Vec<&&ExistingMachine> = existing.iter().collect();
     by_price.sort_by(|left, right| {
         right.price_micros_per_hour.cmp(&left.price_micros_per_hour).then_with(|| left.id.cmp(&right.id))
     });
@@ -166,15 +169,15 @@
     }
 }
 
-/// Makes enough of the starts on demand that the placement's minimum is met.
-fn raise_on_demand(input: &PlanningInput, placement: &Placement, plan: &mut PlacementPlan) {
-    let kept = |machine: &&HeldMachine| {
+/// Changes reclaimable starts to on-demand ones until the placement's on-demand minimum is met.
+fn ensure_minimum_on_demand(input: &PlanningInput, placement: &Placement, plan: &mut PlacementPlan) {
+    let retained = |machine: &&ExistingMachine| {
         machine.service == placement.service && !machine.reclaimable && !plan.stops.contains(&machine.id)
     };
-    let held = input.machines.iter().filter(kept).count();
+    let existing = input.machines.iter().filter(retained).count();
     let is_on_demand = |start: &&MachineStart| start.service == placement.service && !start.reclaimable;
     let started = plan.starts.iter().filter(is_on_demand).count();
-    let missing = placement.minimum_on_demand.saturating_sub(held + started);
+    let missing = placement.minimum_on_demand.saturating_sub(existing + started);
     let starts =
         plan.starts.iter_mut().filter(|start| start.service == placement.service && start.reclaimable);
     for start in starts.take(missing) {
