--- a/crates/beamwall-clock/src/simulation.rs
+++ b/crates/beamwall-clock/src/simulation.rs
@@ -6,25 +6,25 @@
 
 thread_local! {
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
-    static STOOD_STILL: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static STALLED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
 /// Lets the process of this thread's tests have stood still for a while, just now, while the steady clock went on.
-pub fn stand_still_for(duration: Duration) {
-    STOOD_STILL.set(STOOD_STILL.get() + duration);
+pub fn simulate_stall(duration: Duration) {
+    STALLED.set(STALLED.get() + duration);
 }
 
 /// Time for which it has done so.
-pub(crate) fn stood_still() -> Duration {
-    STOOD_STILL.get()
+pub(crate) fn simulated_stall() -> Duration {
+    STALLED.get()
 }
 
 /// Lets this thread's machine have been suspended for a while, just now.
-pub fn suspend_for(duration: Duration) {
+pub fn simulate_suspension(duration: Duration) {
     SUSPENDED.set(SUSPENDED.get() + duration);
 }
 
 /// Time for which it has been so far.
-pub(crate) fn suspended() -> Duration {
+pub(crate) fn simulated_suspension() -> Duration {
     SUSPENDED.get()
 }
--- a/crates/beamwall-clock/src/timers.rs
+++ b/crates/beamwall-clock/src/timers.rs
@@ -3,21 +3,21 @@
 use std::future::Future;
 use std::time::Duration;
 
-use crate::Moment;
+use crate::BootInstant;
 
 /// Time between two looks at the clock: a timer that ends while the machine sleeps ends this long after it wakes at most. Short
 /// enough for callers that wait, long enough to cost nothing beside what an open request costs.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Waits for a while that counts the time asleep.
 pub async fn sleep(duration: Duration) {
-    let end = Moment::now() + duration;
+    let deadline = BootInstant::now() + duration;
     loop {
-        let left = end.duration_since(Moment::now());
-        if left.is_zero() {
+        let remaining = deadline.duration_since(BootInstant::now());
+        if remaining.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LOOK_PERIOD)).await;
+        tokio::time::sleep(remaining.min(POLL_INTERVAL)).await;
     }
 }
 
--- a/crates/beamwall-clock/tests/throttle.rs
+++ b/crates/beamwall-clock/tests/throttle.rs
@@ -7,7 +7,7 @@
 const PERIOD: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn it_happens_at_first_and_again_after_the_period() {
+async fn admits_first_call_and_one_per_period() {
     let throttle = Throttle::default();
     assert!(throttle.admit(PERIOD));
     assert!(!throttle.admit(PERIOD));
