--- a/crates/beamwall-peer/src/compressed.rs
+++ b/crates/beamwall-peer/src/compressed.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 
 /// Largest value that is read, as JSON: the same bound as for a message that is not compressed.
-const VALUE_LIMIT_BYTES: u64 = 64 << 20;
+const MAX_VALUE_BYTES: u64 = 64 << 20;
 
 quick_error! {
     /// Why a compressed value can't be written or read.
@@ -39,6 +39,6 @@
 /// A value from compressed JSON.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CompressedError> {
     let mut text = Vec::new();
-    DeflateDecoder::new(bytes).take(VALUE_LIMIT_BYTES).read_to_end(&mut text)?;
+    DeflateDecoder::new(bytes).take(MAX_VALUE_BYTES).read_to_end(&mut text)?;
     Ok(serde_json::from_slice(&text)?)
 }
--- a/crates/beamwall-peer/src/frame.rs
+++ b/crates/beamwall-peer/src/frame.rs
@@ -5,11 +5,11 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// Largest message in bytes: a whole settings tree.
-const MESSAGE_LIMIT_BYTES: u32 = 64 << 20;
+const MAX_MESSAGE_BYTES: u32 = 64 << 20;
 
 /// Writes one message.
 pub async fn write_message(stream: &mut (impl AsyncWrite + Unpin), message: &[u8]) -> io::Result<()> {
-    let length = u32::try_from(message.len()).map_err(|_| too_long(message.len()))?;
+    let length = u32::try_from(message.len()).map_err(|_| message_too_long(message.len()))?;
     let mut framed = Vec::with_capacity(size_of::<u32>() + message.len());
     framed.extend_from_slice(&length.to_be_bytes());
     framed.extend_from_slice(message);
@@ -19,8 +19,8 @@
 /// Reads one message; the end of the connection is an error.
 pub async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    if length > MESSAGE_LIMIT_BYTES {
-        return Err(too_long(length as usize));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(message_too_long(length as usize));
     }
     // What is announced is not trusted: memory is taken as bytes come.
     let mut message = Vec::new();
@@ -31,6 +31,6 @@
     Ok(message)
 }
 
-fn too_long(bytes: usize) -> io::Error {
+fn message_too_long(bytes: usize) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("a message of {bytes} bytes"))
 }
--- a/crates/beamwall-peer/src/gateway_message.rs
+++ b/crates/beamwall-peer/src/gateway_message.rs
@@ -7,11 +7,11 @@
 use prost::Message;
 
 use crate::message::MemberUpdate;
-use crate::rollout_message::RolloutNews;
+use crate::rollout_message::RolloutUpdate;
 
 /// Periodic sign of life of a gateway with what the others need to know of it.
 #[derive(Clone, PartialEq, Message)]
-pub struct GatewayBeat {
+pub struct GatewayHeartbeat {
     /// What the sender knows of other nodes.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<MemberUpdate>,
@@ -53,7 +53,7 @@
     pub members_known: u32,
     /// Rollouts as the sender knows them.
     #[prost(message, optional, tag = "14")]
-    pub rollouts: Option<RolloutNews>,
+    pub rollouts: Option<RolloutUpdate>,
     /// Time of day by the sender's own clock, in milliseconds since 1970.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
@@ -65,7 +65,7 @@
 /// What the sender holds, told at once when it is newer than before. With names of usual length it
 /// takes 84 bytes; a heartbeat tells the same among much else, too much for each change of a back end.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct VersionNews {
+pub struct VersionUpdate {
     /// Version of the policy in force; 0 for none.
     #[prost(uint64, tag = "1")]
     pub policy_version: u64,
@@ -141,7 +141,7 @@
     pub slowness: Vec<BackendSlowness>,
     /// Rollouts as they know them.
     #[prost(message, optional, tag = "11")]
-    pub rollouts: Option<RolloutNews>,
+    pub rollouts: Option<RolloutUpdate>,
     /// Digest of what the relay knows of requests under which back ends end; 0 for nothing.
     #[prost(fixed64, tag = "12")]
     pub quarantine_digest: u64,
@@ -220,15 +220,15 @@
 
 /// Usage by life of a gateway, also of lives that have ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct UsageKnown {
+pub struct UsageAnswer {
     /// The lives.
     #[prost(message, repeated, tag = "1")]
-    pub lives: Vec<LifeUsage>,
+    pub lives: Vec<GenerationUsage>,
 }
 
 /// Usage that one life of a gateway counted.
 #[derive(Clone, PartialEq, Message)]
-pub struct LifeUsage {
+pub struct GenerationUsage {
     /// Name of the gateway.
     #[prost(string, tag = "1")]
     pub node: String,
--- a/crates/beamwall-peer/src/member.rs
+++ b/crates/beamwall-peer/src/member.rs
@@ -61,7 +61,7 @@
     /// When the state was entered.
     pub since: Instant,
     /// When it was last heard directly; `None` when only others spoke of it.
-    pub heard: Option<Instant>,
+    pub last_received: Option<Instant>,
     /// Settings revision in force there.
     pub revision: u64,
     /// Digest of its resolved settings.
@@ -83,7 +83,7 @@
 
 impl Member {
     /// Takes the capacity of its link, where others told one.
-    pub(crate) fn learn_link(&mut self, link_mbps: u32) {
+    pub(crate) fn update_link(&mut self, link_mbps: u32) {
         if link_mbps > 0 {
             self.link_mbps = link_mbps;
         }
--- a/crates/beamwall-peer/src/membership.rs
+++ b/crates/beamwall-peer/src/membership.rs
@@ -22,21 +22,21 @@
 /// Members of a larger zone that are newly probed in each period.
 const PROBES_PER_PERIOD: usize = 2;
 /// Unanswered probes that are repeated in each period.
-const REPEATED_PROBES: usize = 16;
+const REPEATED_PROBES_PER_PERIOD: usize = 16;
 /// Dead members tried in each period, so that the sides of a mended cut find each other again.
-const DEAD_TRIED: usize = 3;
+const DEAD_PROBES_PER_PERIOD: usize = 3;
 /// Members asked to probe a suspect.
 const INDIRECT_PROBERS: usize = 4;
 /// Periods between two full lists that a node sends to one other.
 const SYNC_PERIODS: u64 = 60;
 /// Unchanged members told in one heartbeat in a large zone where it reaches a few nodes.
-const REFRESHED_PER_HEARTBEAT: usize = 4;
+const REFRESHES_PER_HEARTBEAT: usize = 4;
 /// Relays of a zone that speak with the relays of other zones.
 pub const RELAYS_PER_ZONE: usize = 2;
 /// Times a changed member is told to others.
-const TELL_TIMES: u32 = 8;
+const TRANSMISSIONS_PER_UPDATE: u32 = 8;
 /// The same where each heartbeat reaches the whole zone.
-const BROADCAST_TELL_TIMES: u32 = 2;
+const BROADCAST_TRANSMISSIONS_PER_UPDATE: u32 = 2;
 /// Members told in one heartbeat.
 const UPDATES_PER_HEARTBEAT: usize = 24;
 
@@ -50,7 +50,7 @@
     /// Suspicion after which a node is dead.
     pub dead_after: Duration,
     /// Time after which a dead node is forgotten.
-    pub forget_after: Duration,
+    pub remove_after: Duration,
 }
 
 impl Default for MembershipTiming {
@@ -59,7 +59,7 @@
             period: Duration::from_millis(500),
             suspect_after: Duration::from_millis(2_000),
             dead_after: Duration::from_millis(2_500),
-            forget_after: Duration::from_secs(600),
+            remove_after: Duration::from_secs(600),
         }
     }
 }
@@ -86,10 +86,10 @@
     incarnation: u64,
     timing: MembershipTiming,
     members: BTreeMap<NodeId, Member>,
-    untold: BTreeMap<NodeId, u32>,
-    told_cursor: usize,
+    pending_updates: BTreeMap<NodeId, u32>,
+    refresh_cursor: usize,
     /// Members probed and not heard since, with the time of the first such probe.
-    unanswered: BTreeMap<NodeId, Instant>,
+    unanswered_probes: BTreeMap<NodeId, Instant>,
     probe_cursor: usize,
     periods: u64,
 }
@@ -114,26 +114,26 @@
             incarnation,
             timing,
             members: BTreeMap::new(),
-            untold: BTreeMap::new(),
-            told_cursor: 0,
-            unanswered: BTreeMap::new(),
+            pending_updates: BTreeMap::new(),
+            refresh_cursor: 0,
+            unanswered_probes: BTreeMap::new(),
             probe_cursor: 0,
             periods: 0,
         }
     }
 
     /// The same node, on a network link of `link_mbps` Mbit/s.
-    pub fn on_link(self, link_mbps: u32) -> Self {
+    pub fn with_link(self, link_mbps: u32) -> Self {
         Self { link_mbps, ..self }
     }
 
     /// The same node, whose heartbeats go to all nodes of its zone, so that it hears each of them by itself.
-    pub fn broadcasting(self) -> Self {
+    pub fn with_broadcast(self) -> Self {
         Self { broadcasts: true, ..self }
     }
 
     /// Whether heartbeats go to all nodes of a zone so large that each need not tell all that it knows.
-    fn broadcasts_widely(&self) -> bool {
+    fn broadcasts_to_large_zone(&self) -> bool {
         self.broadcasts && self.zone_size() > FULL_MESH_LIMIT
     }
 
@@ -153,24 +153,24 @@
     }
 
     /// Notes that a message came directly from its sender.
-    pub fn hear(&mut self, envelope: &Envelope, now: Instant) -> Option<MembershipChange> {
+    pub fn record_message(&mut self, envelope: &Envelope, now: Instant) -> Option<MembershipChange> {
         let address: SocketAddr = envelope.address.parse().ok()?;
         let node = NodeId::new(&envelope.sender);
         if node == self.own {
             return None;
         }
-        self.unanswered.remove(&node);
+        self.unanswered_probes.remove(&node);
         let known = self.members.get(&node);
         if known.is_some_and(|member| member.incarnation > envelope.incarnation) {
             return None;
         }
-        let was = known.map(|member| (member.state, member.incarnation));
-        let is_new_life = was.is_none_or(|(_, incarnation)| incarnation < envelope.incarnation);
-        if was.is_some_and(|(state, _)| state != MemberState::Alive) && !is_new_life {
-            self.hear_suspected(&node, envelope, now);
+        let previous = known.map(|member| (member.state, member.incarnation));
+        let is_new_incarnation = previous.is_none_or(|(_, incarnation)| incarnation < envelope.incarnation);
+        if previous.is_some_and(|(state, _)| state != MemberState::Alive) && !is_new_incarnation {
+            self.record_inactive_sender(&node, envelope, now);
             return None;
         }
-        let since = known.filter(|_| !is_new_life).map_or(now, |member| member.since);
+        let since = known.filter(|_| !is_new_incarnation).map_or(now, |member| member.since);
         let member = Member {
             node: node.clone(),
             zone: ZoneName::new(&envelope.zone),
@@ -178,7 +178,7 @@
             incarnation: envelope.incarnation,
             state: MemberState::Alive,
             since,
-            heard: Some(now),
+            last_received: Some(now),
             revision: envelope.revision,
             digest: envelope.digest,
             ready: envelope.ready,
@@ -186,25 +186,32 @@
             link_mbps: envelope.link_mbps,
         };
         self.members.insert(node.clone(), member);
-        is_new_life.then(|| self.note_change(&node)).flatten()
+        is_new_incarnation.then(|| self.record_change(&node)).flatten()
     }
 
     /// A suspected or dead node that still speaks under its old incarnation must learn what is said
     /// of it and come back with a higher one, so that everyone takes it back.
-    fn hear_suspected(&mut self, node: &NodeId, envelope: &Envelope, now: Instant) {
+    fn record_inactive_sender(&mut self, node: &NodeId, envelope: &Envelope, now: Instant) {
         if let Some(member) = self.members.get_mut(node) {
-            member.heard = Some(now);
+            member.last_received = Some(now);
             member.revision = envelope.revision;
         }
     }
 
     /// What to answer to a sender at once: everything for one that was not known before, unless it says in a large zone that
     /// it `knows` as many members itself, and what is said of it for one that is suspected or dead.
-    pub fn introduction(&self, sender: &NodeId, was_known: bool, knows: Option<usize>) -> Vec<MemberUpdate> {
-        let is_introduced =
-            || self.broadcasts_widely() && knows.is_some_and(|knows| knows >= self.members.len());
+    pub fn immediate_updates(
+        &self,
+        sender: &NodeId,
+        was_known: bool,
+        members_known: Option<usize>,
+    ) -> Vec<MemberUpdate> {
+        let is_fully_informed = || {
+            self.broadcasts_to_large_zone()
+                && members_known.is_some_and(|members_known| members_known >= self.members.len())
+        };
         match self.members.get(sender) {
-            Some(_) if !was_known && !is_introduced() => self.all_updates(),
+            Some(_) if !was_known && !is_fully_informed() => self.all_updates(),
             Some(member) if member.state != MemberState::Alive => vec![to_update(member)],
             _ => Vec::new(),
         }
@@ -225,7 +232,7 @@
         let address: SocketAddr = update.address.parse().ok()?;
         match self.members.get_mut(&node) {
             Some(member) => {
-                member.learn_link(update.link_mbps);
+                member.update_link(update.link_mbps);
                 let newer = (update.incarnation, state) > (member.incarnation, member.state);
                 if !newer {
                     return None;
@@ -235,12 +242,12 @@
                 member.address = address;
                 member.state = state;
                 member.since = now;
-                changed.then(|| self.note_change(&node)).flatten()
+                changed.then(|| self.record_change(&node)).flatten()
             }
             None if state >= MemberState::Dead => None,
             None => {
                 self.members.insert(node.clone(), new_member(node.clone(), update, address, state, now));
-                self.note_change(&node)
+                self.record_change(&node)
             }
         }
     }
@@ -251,43 +258,45 @@
         }
     }
 
-    fn note_change(&mut self, node: &NodeId) -> Option<MembershipChange> {
+    fn record_change(&mut self, node: &NodeId) -> Option<MembershipChange> {
         let member = self.members.get(node)?;
-        self.untold.insert(node.clone(), TELL_TIMES);
+        self.pending_updates.insert(node.clone(), TRANSMISSIONS_PER_UPDATE);
         Some(MembershipChange { node: node.clone(), zone: member.zone.clone(), state: member.state })
     }
 
     /// Leaves out what others hear anyway. Of 100 nodes that all tell each other, each hears every new member itself and
     /// would be told of it by 99 others, eight times each: 160 KB a second for 100 seconds after a start of 300 nodes.
     /// So there only the relays tell of new members, for the sake of other zones, and who falls silent is told twice.
-    fn leave_out_heard(&mut self) {
-        if !self.broadcasts_widely() {
+    fn suppress_redundant_updates(&mut self) {
+        if !self.broadcasts_to_large_zone() {
             return;
         }
         let is_relay = self.is_relay();
         let members = &self.members;
         let is_alive =
             |node: &NodeId| members.get(node).is_some_and(|member| member.state == MemberState::Alive);
-        self.untold.retain(|node, _| is_relay || !is_alive(node));
-        self.untold.values_mut().for_each(|left| *left = (*left).min(BROADCAST_TELL_TIMES));
+        self.pending_updates.retain(|node, _| is_relay || !is_alive(node));
+        self.pending_updates
+            .values_mut()
+            .for_each(|remaining| *remaining = (*remaining).min(BROADCAST_TRANSMISSIONS_PER_UPDATE));
     }
 
     /// Leaves a time in which this node's own process stood still out of the silence of others: what they sent may lie unread.
-    pub fn excuse(&mut self, stood_still: Duration) {
-        self.unanswered.values_mut().for_each(|since| *since += stood_still);
+    pub fn discount_stall(&mut self, stall: Duration) {
+        self.unanswered_probes.values_mut().for_each(|since| *since += stall);
         let suspects = self.members.values_mut().filter(|member| member.state == MemberState::Suspect);
-        suspects.for_each(|member| member.since += stood_still);
+        suspects.for_each(|member| member.since += stall);
     }
 
     /// Advances suspicion and death.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipChange> {
         let timing = self.timing;
-        let unanswered = &self.unanswered;
+        let unanswered_probes = &self.unanswered_probes;
         let mut changed = Vec::new();
         for member in self.members.values_mut() {
             let next = match member.state {
                 MemberState::Alive => {
-                    let silent = unanswered.get(&member.node).map(|since| now.duration_since(*since));
+                    let silent = unanswered_probes.get(&member.node).map(|since| now.duration_since(*since));
                     silent.filter(|silent| *silent >= timing.suspect_after).map(|_| MemberState::Suspect)
                 }
                 MemberState::Suspect => {
@@ -301,17 +310,17 @@
                 changed.push(member.node.clone());
             }
         }
-        let forget = |member: &Member| {
-            member.state >= MemberState::Dead && now.duration_since(member.since) >= timing.forget_after
+        let is_expired = |member: &Member| {
+            member.state >= MemberState::Dead && now.duration_since(member.since) >= timing.remove_after
         };
-        self.members.retain(|_, member| !forget(member));
+        self.members.retain(|_, member| !is_expired(member));
         let members = &self.members;
-        self.unanswered
+        self.unanswered_probes
             .retain(|node, _| members.get(node).is_some_and(|member| member.state == MemberState::Alive));
-        changed.iter().filter_map(|node| self.note_change(node)).collect()
+        changed.iter().filter_map(|node| self.record_change(node)).collect()
     }
 
-    fn in_zone(&self) -> impl Iterator<Item = &Member> {
+    fn active_zone_members(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
             .filter(|member| member.zone == self.zone && member.state <= MemberState::Suspect)
@@ -319,12 +328,12 @@
 
     /// Nodes of this zone that are not dead, this one included.
     pub fn zone_size(&self) -> usize {
-        self.in_zone().count() + 1
+        self.active_zone_members().count() + 1
     }
 
     /// Whether this node speaks with other zones.
     pub fn is_relay(&self) -> bool {
-        let alive = self.in_zone().filter(|member| member.state == MemberState::Alive);
+        let alive = self.active_zone_members().filter(|member| member.state == MemberState::Alive);
         let mut candidates: Vec<(&str, u32)> =
             alive.map(|member| (member.node.as_str(), member.link_mbps)).collect();
         candidates.push((self.own.as_str(), self.link_mbps));
@@ -332,13 +341,13 @@
     }
 
     /// Addresses of the relays of the other zones.
-    pub fn relays_elsewhere(&self) -> Vec<SocketAddr> {
-        self.other_relays().into_iter().map(|member| member.address).collect()
+    pub fn remote_relays(&self) -> Vec<SocketAddr> {
+        self.remote_relay_members().into_iter().map(|member| member.address).collect()
     }
 
     /// The relays of the other zones. Where members have fallen silent, more are tried, so that the
     /// loss of a whole zone is seen in a number of rounds that grows with the logarithm of its size.
-    fn other_relays(&self) -> Vec<&Member> {
+    fn remote_relay_members(&self) -> Vec<&Member> {
         let mut by_zone: BTreeMap<&ZoneName, (Vec<&Member>, usize)> = BTreeMap::new();
         for member in self.members.values().filter(|member| member.zone != self.zone) {
             let (candidates, silent) = by_zone.entry(&member.zone).or_default();
@@ -361,34 +370,37 @@
     /// Who gets this period's heartbeat.
     pub fn targets(&mut self, now: Instant) -> Vec<Target> {
         let mut probed: BTreeMap<NodeId, bool> = BTreeMap::new();
-        let zone: Vec<NodeId> = self.in_zone().map(|member| member.node.clone()).collect();
+        let zone: Vec<NodeId> = self.active_zone_members().map(|member| member.node.clone()).collect();
         if zone.len() < FULL_MESH_LIMIT {
             // Members that count the zone as large do not send here by themselves.
-            let is_silent = |node: &NodeId| {
-                self.unanswered.get(node).is_some_and(|since| now.duration_since(*since) > self.timing.period)
+            let is_unresponsive = |node: &NodeId| {
+                self.unanswered_probes
+                    .get(node)
+                    .is_some_and(|since| now.duration_since(*since) > self.timing.period)
             };
-            probed.extend(zone.into_iter().map(|node| (node.clone(), is_silent(&node))));
+            probed.extend(zone.into_iter().map(|node| (node.clone(), is_unresponsive(&node))));
         } else {
-            let turn =
+            let next_probes =
                 (0..PROBES_PER_PERIOD).map(|offset| zone[(self.probe_cursor + offset) % zone.len()].clone());
-            probed.extend(turn.map(|node| (node, true)));
+            probed.extend(next_probes.map(|node| (node, true)));
             self.probe_cursor = (self.probe_cursor + PROBES_PER_PERIOD) % zone.len();
         }
         if self.is_relay() {
-            probed.extend(self.other_relays().iter().map(|member| (member.node.clone(), true)));
+            probed.extend(self.remote_relay_members().iter().map(|member| (member.node.clone(), true)));
         }
         // An unanswered probe is repeated until it is answered or its node suspected, also when the
         // node would not be probed otherwise any more.
-        let repeated = self.unanswered.keys().take(REPEATED_PROBES).cloned();
+        let repeated = self.unanswered_probes.keys().take(REPEATED_PROBES_PER_PERIOD).cloned();
         probed.extend(repeated.map(|node| (node, true)));
-        self.unanswered.retain(|node, _| probed.contains_key(node));
+        self.unanswered_probes.retain(|node, _| probed.contains_key(node));
         for node in probed.keys() {
-            self.unanswered.entry(node.clone()).or_insert(now);
+            self.unanswered_probes.entry(node.clone()).or_insert(now);
         }
         let dead: Vec<&Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).collect();
-        let tried = dead.sample(&mut rand::rng(), DEAD_TRIED).map(|member| (member.node.clone(), true));
-        let all = probed.into_iter().chain(tried);
+        let dead_probes =
+            dead.sample(&mut rand::rng(), DEAD_PROBES_PER_PERIOD).map(|member| (member.node.clone(), true));
+        let all = probed.into_iter().chain(dead_probes);
         all.filter_map(|(node, wants_answer)| {
             Some(Target { address: self.members.get(&node)?.address, wants_answer })
         })
@@ -396,9 +408,9 @@
     }
 
     /// Addresses of other members that can probe `node` for this one.
-    pub fn probers(&self, node: &NodeId) -> Vec<SocketAddr> {
+    pub fn indirect_probers(&self, node: &NodeId) -> Vec<SocketAddr> {
         let others: Vec<&Member> = self
-            .in_zone()
+            .active_zone_members()
             .filter(|member| &member.node != node && member.state == MemberState::Alive)
             .collect();
         others.sample(&mut rand::rng(), INDIRECT_PROBERS).map(|member| member.address).collect()
@@ -408,8 +420,8 @@
     /// piggybacked. Nodes take turns.
     pub fn sync_target(&mut self) -> Option<SocketAddr> {
         self.periods += 1;
-        let turn = rendezvous::weight(b"sync", self.own.as_str()) % SYNC_PERIODS;
-        if self.periods % SYNC_PERIODS != turn {
+        let sync_offset = rendezvous::weight(b"sync", self.own.as_str()) % SYNC_PERIODS;
+        if self.periods % SYNC_PERIODS != sync_offset {
             return None;
         }
         let alive: Vec<&Member> =
@@ -424,29 +436,29 @@
 
     /// What to tell others: changes first, then everyone in turn.
     pub fn updates(&mut self) -> Vec<MemberUpdate> {
-        self.leave_out_heard();
+        self.suppress_redundant_updates();
         // What was told least goes first, so that a wave of changes does not hold up the newest.
-        let mut waiting: Vec<(u32, NodeId)> =
-            self.untold.iter().map(|(node, left)| (*left, node.clone())).collect();
-        waiting.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
+        let mut pending: Vec<(u32, NodeId)> =
+            self.pending_updates.iter().map(|(node, remaining)| (*remaining, node.clone())).collect();
+        pending.sort_by_key(|(remaining, _)| std::cmp::Reverse(*remaining));
         let mut chosen: Vec<NodeId> =
-            waiting.into_iter().take(UPDATES_PER_HEARTBEAT).map(|(_, node)| node).collect();
+            pending.into_iter().take(UPDATES_PER_HEARTBEAT).map(|(_, node)| node).collect();
         for node in &chosen {
-            let left = self.untold.get(node).copied().unwrap_or(0);
-            if left <= 1 {
-                self.untold.remove(node);
+            let remaining = self.pending_updates.get(node).copied().unwrap_or(0);
+            if remaining <= 1 {
+                self.pending_updates.remove(node);
             } else {
-                self.untold.insert(node.clone(), left - 1);
+                self.pending_updates.insert(node.clone(), remaining - 1);
             }
         }
-        let reaches_few = self.zone_size() > FULL_MESH_LIMIT && !self.broadcasts;
-        let refreshed = if reaches_few { REFRESHED_PER_HEARTBEAT } else { 1 };
-        let room = UPDATES_PER_HEARTBEAT.saturating_sub(chosen.len()).min(refreshed);
+        let reaches_subset = self.zone_size() > FULL_MESH_LIMIT && !self.broadcasts;
+        let refreshed = if reaches_subset { REFRESHES_PER_HEARTBEAT } else { 1 };
+        let refresh_count = UPDATES_PER_HEARTBEAT.saturating_sub(chosen.len()).min(refreshed);
         let names: Vec<&NodeId> = self.members.keys().collect();
-        for offset in 0..room.min(names.len()) {
-            chosen.push(names[(self.told_cursor + offset) % names.len()].clone());
+        for offset in 0..refresh_count.min(names.len()) {
+            chosen.push(names[(self.refresh_cursor + offset) % names.len()].clone());
         }
-        self.told_cursor = self.told_cursor.wrapping_add(room) % names.len().max(1);
+        self.refresh_cursor = self.refresh_cursor.wrapping_add(refresh_count) % names.len().max(1);
         chosen.iter().filter_map(|node| self.members.get(node)).map(to_update).collect()
     }
 }
@@ -473,7 +485,7 @@
         incarnation: update.incarnation,
         state,
         since: now,
-        heard: None,
+        last_received: None,
         revision: 0,
         digest: 0,
         ready: false,
--- a/crates/beamwall-peer/src/message.rs
+++ b/crates/beamwall-peer/src/message.rs
@@ -6,10 +6,10 @@
 use prost::{Message, Oneof};
 
 use crate::gateway_message::{
-    DirectoryAnswer, DirectoryRequest, GatewayBeat, PlacementReply, PlacementRequest, PolicyAnswer,
-    PolicyRequest, UsageKnown, UsageRequest, VersionNews, ZoneSummary,
+    DirectoryAnswer, DirectoryRequest, GatewayHeartbeat, PlacementReply, PlacementRequest, PolicyAnswer,
+    PolicyRequest, UsageAnswer, UsageRequest, VersionUpdate, ZoneSummary,
 };
-use crate::quarantine_message::{QuarantineNews, QuarantineRequest};
+use crate::quarantine_message::{QuarantineRequest, QuarantineUpdate};
 
 /// Every message: who sends it, what the sender holds, and the body.
 #[derive(Clone, PartialEq, Message)]
@@ -69,7 +69,7 @@
     TreeRequest(TreeRequest),
     /// A whole settings tree.
     #[prost(message, tag = "23")]
-    TreeWhole(TreeWhole),
+    TreeWhole(TreeSnapshot),
     /// One committed settings edit.
     #[prost(message, tag = "24")]
     TreeChange(TreeChange),
@@ -84,7 +84,7 @@
     RequestQuery(RequestQuery),
     /// The answer to a query for a request.
     #[prost(message, tag = "28")]
-    RequestFound(RequestFound),
+    RequestFound(RequestQueryAnswer),
     /// Asks the owner of a claim shard for a change.
     #[prost(message, tag = "29")]
     ClaimRequest(ClaimRequest),
@@ -96,7 +96,7 @@
     TreeChanges(TreeChanges),
     /// Periodic sign of life of a gateway.
     #[prost(message, tag = "40")]
-    GatewayBeat(GatewayBeat),
+    GatewayBeat(GatewayHeartbeat),
     /// Asks a gateway what changed in its policy.
     #[prost(message, tag = "41")]
     PolicyRequest(PolicyRequest),
@@ -120,16 +120,16 @@
     PlacementReply(PlacementReply),
     /// Versions that a gateway has just taken.
     #[prost(message, tag = "48")]
-    VersionNews(VersionNews),
+    VersionNews(VersionUpdate),
     /// Asks a gateway for the usage that it knows.
     #[prost(message, tag = "49")]
     UsageRequest(UsageRequest),
     /// The usage that it knows.
     #[prost(message, tag = "50")]
-    UsageKnown(UsageKnown),
+    UsageKnown(UsageAnswer),
     /// What a gateway knows of requests under which back ends end.
     #[prost(message, tag = "51")]
-    QuarantineNews(QuarantineNews),
+    QuarantineNews(QuarantineUpdate),
     /// Asks a gateway for all that it knows of them.
     #[prost(message, tag = "52")]
     QuarantineRequest(QuarantineRequest),
@@ -176,7 +176,7 @@
     pub backends: Vec<BackendReport>,
     /// Back ends known to be leaving.
     #[prost(message, repeated, tag = "3")]
-    pub leaving: Vec<LeavingMark>,
+    pub leaving: Vec<LeavingBackend>,
     /// What tenants want at the sender.
     #[prost(message, repeated, tag = "4")]
     pub demands: Vec<TenantDemand>,
@@ -251,7 +251,7 @@
 
 /// A back end that is leaving.
 #[derive(Clone, PartialEq, Message)]
-pub struct LeavingMark {
+pub struct LeavingBackend {
     /// Name.
     #[prost(string, tag = "1")]
     pub backend: String,
@@ -317,7 +317,7 @@
 
 /// A whole settings tree.
 #[derive(Clone, PartialEq, Message)]
-pub struct TreeWhole {
+pub struct TreeSnapshot {
     /// Revision; 0 when the sender holds none.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
@@ -396,7 +396,7 @@
 
 /// The answer to a query for a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct RequestFound {
+pub struct RequestQueryAnswer {
     /// Whether the sender holds it.
     #[prost(bool, tag = "1")]
     pub found: bool,
--- a/crates/beamwall-peer/src/network.rs
+++ b/crates/beamwall-peer/src/network.rs
@@ -24,11 +24,11 @@
 use crate::session;
 
 /// Messages received and not yet handled.
-const INBOUND_CAPACITY: usize = 4_096;
+const INBOUND_QUEUE_CAPACITY: usize = 4_096;
 /// Silence after which a peer's connection is closed: longer than it keeps one that carries nothing.
-const SILENCE_LIMIT: Duration = Duration::from_secs(150);
+const INACTIVITY_TIMEOUT: Duration = Duration::from_secs(150);
 /// Pause after a failed accept, for example when file descriptors run out.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 quick_error! {
     /// Why peers cannot be reached.
@@ -76,7 +76,7 @@
         lock(&self.sent_bytes_by_kind).clone()
     }
 
-    fn note_sent(&self, envelope: &Envelope, bytes: u64) {
+    fn record_sent(&self, envelope: &Envelope, bytes: u64) {
         self.sent_messages.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes.fetch_add(bytes, Ordering::Relaxed);
         let kind = envelope.body.as_ref().map_or("none", Body::kind);
@@ -109,16 +109,16 @@
 }
 
 type Sessions = HashMap<SocketAddr, Session>;
-type Questions = HashMap<u64, oneshot::Sender<Envelope>>;
+type PendingRequests = HashMap<u64, oneshot::Sender<Envelope>>;
 
 /// The sessions of one node.
 #[derive(Debug)]
 pub struct PeerNetwork {
     sessions: Mutex<Sessions>,
-    questions: Mutex<Questions>,
-    next_question: AtomicU64,
+    pending_requests: Mutex<PendingRequests>,
+    next_request_id: AtomicU64,
     blocked: Mutex<HashSet<NodeId>>,
-    accepting: Mutex<Option<AbortHandle>>,
+    accept_task: Mutex<Option<AbortHandle>>,
     /// Traffic counted since start.
     pub traffic: PeerTraffic,
 }
@@ -131,24 +131,24 @@
     /// Opens the listener. Messages that are not answers arrive on the receiver.
     pub fn listen(address: SocketAddr) -> Result<(Arc<Self>, mpsc::Receiver<Envelope>), PeerError> {
         let listener = bind(address).map_err(|error| PeerError::Listen(address, error.to_string()))?;
-        let (inbound, receiver) = mpsc::channel(INBOUND_CAPACITY);
+        let (inbound, receiver) = mpsc::channel(INBOUND_QUEUE_CAPACITY);
         let network = Arc::new(Self {
             sessions: Mutex::default(),
-            questions: Mutex::default(),
-            next_question: AtomicU64::new(1),
+            pending_requests: Mutex::default(),
+            next_request_id: AtomicU64::new(1),
             blocked: Mutex::default(),
-            accepting: Mutex::default(),
+            accept_task: Mutex::default(),
             traffic: PeerTraffic::default(),
         });
-        let accepting = tokio::spawn(network.clone().accept(listener, inbound));
-        *lock(&network.accepting) = Some(accepting.abort_handle());
+        let accept_task = tokio::spawn(network.clone().accept_connections(listener, inbound));
+        *lock(&network.accept_task) = Some(accept_task.abort_handle());
         Ok((network, receiver))
     }
 
     /// Closes all connections.
     pub fn close(&self) {
-        if let Some(accepting) = lock(&self.accepting).take() {
-            accepting.abort();
+        if let Some(accept_task) = lock(&self.accept_task).take() {
+            accept_task.abort();
         }
         lock(&self.sessions).clear();
     }
@@ -170,7 +170,7 @@
         if self.outbox(to).push(bytes, Instant::now()) {
             self.traffic.dropped_messages.fetch_add(1, Ordering::Relaxed);
         }
-        self.traffic.note_sent(envelope, size);
+        self.traffic.record_sent(envelope, size);
     }
 
     /// Sends one message and waits for its answer.
@@ -180,13 +180,13 @@
         mut envelope: Envelope,
         limit: Duration,
     ) -> Result<Envelope, PeerError> {
-        let question = self.next_question.fetch_add(1, Ordering::Relaxed);
-        envelope.question = question;
-        let (answered, answer) = oneshot::channel();
-        lock(&self.questions).insert(question, answered);
+        let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        envelope.question = request_id;
+        let (reply_sender, reply) = oneshot::channel();
+        lock(&self.pending_requests).insert(request_id, reply_sender);
         self.send(to, &envelope);
-        let result = tokio::time::timeout(limit, answer).await;
-        lock(&self.questions).remove(&question);
+        let result = tokio::time::timeout(limit, reply).await;
+        lock(&self.pending_requests).remove(&request_id);
         match result {
             Ok(Ok(envelope)) => Ok(envelope),
             Ok(Err(_)) => Err(PeerError::Closed),
@@ -205,23 +205,23 @@
     }
 
     /// Accepts peers' connections until the task is ended, and with it those that it accepted.
-    async fn accept(self: Arc<Self>, listener: TcpListener, inbound: mpsc::Sender<Envelope>) {
+    async fn accept_connections(self: Arc<Self>, listener: TcpListener, inbound: mpsc::Sender<Envelope>) {
         let mut connections = JoinSet::new();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    connections.spawn(self.clone().receive(stream, inbound.clone()));
+                    connections.spawn(self.clone().receive_messages(stream, inbound.clone()));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_RETRY_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
             while connections.try_join_next().is_some() {}
         }
     }
 
     /// Takes what one connection brings until it ends, which shows as the peer's silence.
-    async fn receive(self: Arc<Self>, stream: TcpStream, inbound: mpsc::Sender<Envelope>) {
+    async fn receive_messages(self: Arc<Self>, stream: TcpStream, inbound: mpsc::Sender<Envelope>) {
         let mut stream = BufReader::new(stream);
-        while let Ok(Ok(message)) = timeout(SILENCE_LIMIT, read_message(&mut stream)).await {
+        while let Ok(Ok(message)) = timeout(INACTIVITY_TIMEOUT, read_message(&mut stream)).await {
             self.traffic.received_messages.fetch_add(1, Ordering::Relaxed);
             self.traffic.received_bytes.fetch_add(message.len() as u64, Ordering::Relaxed);
             let envelope = match Envelope::decode(message.as_slice()) {
@@ -239,17 +239,17 @@
                 continue;
             }
             if envelope.answers != 0 {
-                self.answer(envelope);
+                self.complete_request(envelope);
             } else if inbound.send(envelope).await.is_err() {
                 return;
             }
         }
     }
 
-    fn answer(&self, envelope: Envelope) {
-        if let Some(waiting) = lock(&self.questions).remove(&envelope.answers) {
+    fn complete_request(&self, envelope: Envelope) {
+        if let Some(reply_sender) = lock(&self.pending_requests).remove(&envelope.answers) {
             // Whoever asked may have given up a moment ago.
-            let _ = waiting.send(envelope);
+            let _ = reply_sender.send(envelope);
         }
     }
 }
--- a/crates/beamwall-peer/src/outbox.rs
+++ b/crates/beamwall-peer/src/outbox.rs
@@ -14,60 +14,60 @@
 /// Messages that wait at most.
 const CAPACITY: usize = 256;
 /// Time after which a message is not sent any more: the longest that a question waits for its answer.
-const MESSAGE_LIFE: Duration = Duration::from_secs(2);
+const MESSAGE_TTL: Duration = Duration::from_secs(2);
 
 /// Messages that wait for one peer, the oldest first.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    waiting: Mutex<VecDeque<Waiting>>,
+    queue: Mutex<VecDeque<QueuedMessage>>,
     added: Notify,
 }
 
 /// A message that waits, and since when.
 #[derive(Debug)]
-pub struct Waiting {
-    since: Instant,
+pub struct QueuedMessage {
+    queued_at: Instant,
     /// The message as sent.
     pub message: Vec<u8>,
 }
 
 impl Outbox {
-    fn lock(&self) -> MutexGuard<'_, VecDeque<Waiting>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, VecDeque<QueuedMessage>> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds a message; returns whether the oldest one had to go for it.
     pub fn push(&self, message: Vec<u8>, now: Instant) -> bool {
-        let mut waiting = self.lock();
-        let is_full = waiting.len() >= CAPACITY;
+        let mut queue = self.lock();
+        let is_full = queue.len() >= CAPACITY;
         if is_full {
-            waiting.pop_front();
+            queue.pop_front();
         }
-        waiting.push_back(Waiting { since: now, message });
-        drop(waiting);
+        queue.push_back(QueuedMessage { queued_at: now, message });
+        drop(queue);
         self.added.notify_one();
         is_full
     }
 
     /// The next message that has not waited for too long, as soon as there is one.
-    pub async fn next(&self) -> Waiting {
+    pub async fn next(&self) -> QueuedMessage {
         loop {
-            if let Some(waiting) = self.take_fresh(Instant::now()) {
-                return waiting;
+            if let Some(message) = self.pop_unexpired(Instant::now()) {
+                return message;
             }
             self.added.notified().await;
         }
     }
 
     /// Puts a message that could not be sent back to its place.
-    pub fn put_back(&self, unsent: Waiting) {
+    pub fn put_back(&self, unsent: QueuedMessage) {
         self.lock().push_front(unsent);
     }
 
-    fn take_fresh(&self, now: Instant) -> Option<Waiting> {
-        let mut waiting = self.lock();
-        while let Some(oldest) = waiting.pop_front() {
-            if now.duration_since(oldest.since) <= MESSAGE_LIFE {
+    fn pop_unexpired(&self, now: Instant) -> Option<QueuedMessage> {
+        let mut queue = self.lock();
+        while let Some(oldest) = queue.pop_front() {
+            if now.duration_since(oldest.queued_at) <= MESSAGE_TTL {
                 return Some(oldest);
             }
         }
--- a/crates/beamwall-peer/src/quarantine_message.rs
+++ b/crates/beamwall-peer/src/quarantine_message.rs
@@ -4,16 +4,16 @@
 
 /// What the sender saw, or all that it knows.
 #[derive(Clone, PartialEq, Message)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Back ends that ended.
     #[prost(message, repeated, tag = "1")]
-    pub endings: Vec<ToldEnding>,
+    pub endings: Vec<TerminationMessage>,
     /// Requests that ran to an end.
     #[prost(message, repeated, tag = "2")]
-    pub completions: Vec<ToldCompletion>,
+    pub completions: Vec<CompletionMessage>,
     /// Trials of held requests.
     #[prost(message, repeated, tag = "3")]
-    pub trials: Vec<ToldTrial>,
+    pub trials: Vec<TrialMessage>,
 }
 
 /// Asks for all that the receiver knows.
@@ -22,7 +22,7 @@
 
 /// A back end that ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldEnding {
+pub struct TerminationMessage {
     /// The back end.
     #[prost(string, tag = "1")]
     pub backend: String,
@@ -36,7 +36,7 @@
 
 /// A request that ran to an end.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldCompletion {
+pub struct CompletionMessage {
     /// The request's fingerprint.
     #[prost(bytes = "vec", tag = "1")]
     pub request: Vec<u8>,
@@ -47,7 +47,7 @@
 
 /// A trial of a held request.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldTrial {
+pub struct TrialMessage {
     /// The request's fingerprint.
     #[prost(bytes = "vec", tag = "1")]
     pub request: Vec<u8>,
--- a/crates/beamwall-peer/src/rollout_message.rs
+++ b/crates/beamwall-peer/src/rollout_message.rs
@@ -4,21 +4,21 @@
 
 /// What the sender knows of rollouts.
 #[derive(Clone, PartialEq, Message)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// The orders.
     #[prost(message, repeated, tag = "1")]
-    pub orders: Vec<ToldOrder>,
+    pub orders: Vec<OrderMessage>,
     /// How far they have come.
     #[prost(message, repeated, tag = "2")]
-    pub stages: Vec<ToldStage>,
+    pub stages: Vec<StageMessage>,
     /// What was counted.
     #[prost(message, repeated, tag = "3")]
-    pub evidence: Vec<ToldEvidence>,
+    pub evidence: Vec<EvidenceMessage>,
 }
 
 /// Identifies an order.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldOrderId {
+pub struct OrderIdMessage {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -32,10 +32,10 @@
 
 /// An order.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldOrder {
+pub struct OrderMessage {
     /// Identifies it.
     #[prost(message, optional, tag = "1")]
-    pub id: Option<ToldOrderId>,
+    pub id: Option<OrderIdMessage>,
     /// Time in which it shall be done, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub interval_ms: u64,
@@ -55,10 +55,10 @@
 
 /// How far an order has come.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldStage {
+pub struct StageMessage {
     /// The order.
     #[prost(message, optional, tag = "1")]
-    pub id: Option<ToldOrderId>,
+    pub id: Option<OrderIdMessage>,
     /// Epoch of the lease under which it was decided.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
@@ -81,10 +81,10 @@
 
 /// What was counted of an order.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldEvidence {
+pub struct EvidenceMessage {
     /// The order.
     #[prost(message, optional, tag = "1")]
-    pub id: Option<ToldOrderId>,
+    pub id: Option<OrderIdMessage>,
     /// Requests to the service.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
@@ -93,15 +93,15 @@
     pub exposed: u64,
     /// Answers of the old version by route, and of the new one by route and back end.
     #[prost(message, repeated, tag = "4")]
-    pub answers: Vec<ToldAnswers>,
+    pub answers: Vec<AnswerCountsMessage>,
     /// Answers of the old version by route and back end. Builds that do not know this field read the sums above.
     #[prost(message, repeated, tag = "5")]
-    pub old_answers: Vec<ToldAnswers>,
+    pub old_answers: Vec<AnswerCountsMessage>,
 }
 
 /// Answers on one route: of one back end, or of the old version together.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldAnswers {
+pub struct AnswerCountsMessage {
     /// Route.
     #[prost(string, tag = "1")]
     pub route: String,
--- a/crates/beamwall-peer/src/transfer.rs
+++ b/crates/beamwall-peer/src/transfer.rs
@@ -7,7 +7,7 @@
 
 /// What passed before may take the link for so much longer when the next message passes: many short ones pass at once on a
 /// fast link, and none is sent away for a wait that its asker would not notice.
-const BACKLOG: Duration = Duration::from_millis(20);
+const MAX_BACKLOG: Duration = Duration::from_millis(20);
 /// Part of the link that paced messages take at most.
 const LINK_SHARE: f64 = 0.5;
 /// Bits in a byte, and in a megabit.
@@ -19,24 +19,24 @@
 pub struct TransferPacer {
     bytes_per_second: f64,
     /// When the messages that passed will have left.
-    free_at: Mutex<Option<Instant>>,
+    link_free_at: Mutex<Option<Instant>>,
 }
 
 impl TransferPacer {
     /// A pacer for a link of `link_mbps` Mbit/s.
     pub fn new(link_mbps: u32) -> Self {
         let bytes_per_second = f64::from(link_mbps.max(1)) * BITS_PER_MEGABIT / BITS_PER_BYTE * LINK_SHARE;
-        Self { bytes_per_second, free_at: Mutex::default() }
+        Self { bytes_per_second, link_free_at: Mutex::default() }
     }
 
     /// Lets `bytes` pass, or tells how long to wait.
     pub fn admit(&self, bytes: usize, now: Instant) -> Result<(), Duration> {
-        let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
-        let begins = free_at.map_or(now, |until| until.max(now));
-        if begins > now + BACKLOG {
-            return Err(begins - now);
+        let mut link_free_at = self.link_free_at.lock().unwrap_or_else(PoisonError::into_inner);
+        let starts_at = link_free_at.map_or(now, |until| until.max(now));
+        if starts_at > now + MAX_BACKLOG {
+            return Err(starts_at - now);
         }
-        *free_at = Some(begins + Duration::from_secs_f64(bytes as f64 / self.bytes_per_second));
+        *link_free_at = Some(starts_at + Duration::from_secs_f64(bytes as f64 / self.bytes_per_second));
         Ok(())
     }
 }
--- a/crates/beamwall-peer/tests/membership.rs
+++ b/crates/beamwall-peer/tests/membership.rs
@@ -34,7 +34,7 @@
     links_mbps: BTreeMap<SocketAddr, u32>,
     sent: usize,
     /// Members told in the last period, introductions included.
-    told: usize,
+    updates_sent: usize,
     broadcasts: bool,
     now: Instant,
     timing: MembershipTiming,
@@ -46,11 +46,11 @@
 
 impl Network {
     fn new(zones: usize, per_zone: usize) -> Self {
-        Self::on_links(zones, per_zone, |_| 0)
+        Self::with_links(zones, per_zone, |_| 0)
     }
 
     /// Nodes on links whose capacity depends on their place in their zone.
-    fn on_links(zones: usize, per_zone: usize, link_mbps: impl Fn(usize) -> u32) -> Self {
+    fn with_links(zones: usize, per_zone: usize, link_mbps: impl Fn(usize) -> u32) -> Self {
         let timing = MembershipTiming::default();
         let mut nodes = BTreeMap::new();
         let mut links_mbps = BTreeMap::new();
@@ -58,7 +58,7 @@
             let (name, zone) = (format!("n{number}"), format!("z{}", number / per_zone));
             let link = link_mbps(number % per_zone);
             let membership =
-                Membership::new(NodeId::new(&name), ZoneName::new(&zone), 1, timing).on_link(link);
+                Membership::new(NodeId::new(&name), ZoneName::new(&zone), 1, timing).with_link(link);
             links_mbps.insert(address(number), link);
             nodes.insert(address(number), (name, zone, membership));
         }
@@ -67,7 +67,7 @@
             stopped: Vec::new(),
             links_mbps,
             sent: 0,
-            told: 0,
+            updates_sent: 0,
             broadcasts: false,
             now: Instant::now(),
             timing,
@@ -75,12 +75,12 @@
     }
 
     /// The same nodes, whose heartbeats go to all of their zone.
-    fn broadcasting(mut self) -> Self {
+    fn with_broadcast(mut self) -> Self {
         self.broadcasts = true;
-        let broadcasting = |(address, (name, zone, membership))| {
-            (address, (name, zone, Membership::broadcasting(membership)))
+        let with_broadcast = |(address, (name, zone, membership))| {
+            (address, (name, zone, Membership::with_broadcast(membership)))
         };
-        self.nodes = self.nodes.into_iter().map(broadcasting).collect();
+        self.nodes = self.nodes.into_iter().map(with_broadcast).collect();
         self
     }
 
@@ -98,14 +98,14 @@
     }
 
     /// One period. `passes` tells whether a message from one zone to another arrives.
-    fn step(&mut self, mut passes: impl FnMut(&str, &str) -> bool) {
+    fn step(&mut self, mut is_delivered: impl FnMut(&str, &str) -> bool) {
         self.now += self.timing.period;
         let now = self.now;
         let running: Vec<SocketAddr> =
             self.nodes.keys().filter(|node| !self.stopped.contains(node)).copied().collect();
         let mut sent: Vec<(SocketAddr, Target, Vec<MemberUpdate>)> = Vec::new();
         self.sent = 0;
-        self.told = 0;
+        self.updates_sent = 0;
         for node in &running {
             let membership = &mut self.nodes.get_mut(node).expect("known").2;
             membership.tick(now);
@@ -113,10 +113,10 @@
             let mut targets = membership.targets(now);
             if self.broadcasts {
                 let zone = &self.nodes[node].1;
-                let is_told =
+                let is_target =
                     |member: &&Member| member.zone.as_str() == zone && member.state <= MemberState::Suspect;
                 let membership = &self.nodes[node].2;
-                let all = membership.members().filter(is_told).map(|member| member.address);
+                let all = membership.members().filter(is_target).map(|member| member.address);
                 let others: Vec<SocketAddr> =
                     all.filter(|address| !targets.iter().any(|target| target.address == *address)).collect();
                 targets.extend(others.into_iter().map(|address| Target { address, wants_answer: false }));
@@ -137,9 +137,9 @@
             );
         }
         for (from, target, updates) in sent {
-            self.deliver(from, target.address, &updates, &mut passes);
+            self.deliver(from, target.address, &updates, &mut is_delivered);
             if target.wants_answer {
-                self.deliver(target.address, from, &[], &mut passes);
+                self.deliver(target.address, from, &[], &mut is_delivered);
             }
         }
     }
@@ -149,24 +149,24 @@
         from: SocketAddr,
         to: SocketAddr,
         updates: &[MemberUpdate],
-        passes: &mut impl FnMut(&str, &str) -> bool,
+        is_delivered: &mut impl FnMut(&str, &str) -> bool,
     ) {
         self.sent += 1;
-        self.told += updates.len();
+        self.updates_sent += updates.len();
         let stopped = self.stopped.contains(&from) || self.stopped.contains(&to);
-        if stopped || !passes(&self.nodes[&from].1, &self.nodes[&to].1) {
+        if stopped || !is_delivered(&self.nodes[&from].1, &self.nodes[&to].1) {
             return;
         }
         let envelope = self.envelope(from);
-        let knows = Some(self.nodes[&from].2.members().count()).filter(|_| self.broadcasts);
+        let members_known = Some(self.nodes[&from].2.members().count()).filter(|_| self.broadcasts);
         let membership = &mut self.nodes.get_mut(&to).expect("known").2;
         let sender = NodeId::new(&envelope.sender);
         let was_known = membership.member(&sender).is_some();
-        membership.hear(&envelope, self.now);
+        membership.record_message(&envelope, self.now);
         membership.merge(updates, self.now);
-        let introduction = self.nodes[&to].2.introduction(&sender, was_known, knows);
-        if !introduction.is_empty() {
-            self.deliver(to, from, &introduction, passes);
+        let reply = self.nodes[&to].2.immediate_updates(&sender, was_known, members_known);
+        if !reply.is_empty() {
+            self.deliver(to, from, &reply, is_delivered);
         }
     }
 
@@ -175,17 +175,17 @@
         self.nodes[&observer].2.member(&name).map(|member| member.state)
     }
 
-    fn assert_views(&self, what: &str) {
+    fn assert_views(&self, context: &str) {
         for observer in self.nodes.keys().filter(|node| !self.stopped.contains(node)) {
             for observed in self.nodes.keys().filter(|node| *node != observer) {
                 let state = self.state(*observer, *observed);
                 if self.stopped.contains(observed) {
                     assert!(
                         state.is_none_or(|state| state >= MemberState::Dead),
-                        "{what}: {observer} sees {observed} as {state:?}"
+                        "{context}: {observer} sees {observed} as {state:?}"
                     );
                 } else {
-                    assert_eq!(state, Some(MemberState::Alive), "{what}: {observer} sees {observed}");
+                    assert_eq!(state, Some(MemberState::Alive), "{context}: {observer} sees {observed}");
                 }
             }
         }
@@ -197,7 +197,7 @@
     let per_zone = input.int_in_range(2..=20)?;
     let mut network = Network::new(zones, per_zone);
     if input.arbitrary()? {
-        network = network.broadcasting();
+        network = network.with_broadcast();
     }
     let loss = input.int_in_range(0..=15_u8)?;
     let mut bytes: Vec<u8> = (0..997).map(|_| input.arbitrary()).collect::<Result<_>>()?;
@@ -214,8 +214,8 @@
         network.step(|_, _| true);
     }
     network.assert_views("after losses");
-    let stops = input.int_in_range(1..=per_zone.min(3))?;
-    network.stopped = (0..stops)
+    let stop_count = input.int_in_range(1..=per_zone.min(3))?;
+    network.stopped = (0..stop_count)
         .map(|number| address(2 + number * per_zone / 2))
         .filter(|node| network.nodes.contains_key(node))
         .collect();
@@ -235,14 +235,14 @@
 }
 
 #[test]
-fn views_converge_after_losses_stops_and_cuts() {
+fn views_converge_after_message_loss_stops_and_partitions() {
     for seed in SEEDS {
         arbtest(property).seed(seed);
     }
 }
 
 #[test]
-fn heartbeats_of_a_node_stay_few_as_zones_grow() {
+fn messages_per_node_stay_bounded_as_zones_grow() {
     for (zones, per_zone) in [(3, 2), (3, 16), (5, 40), (5, 108)] {
         let mut network = Network::new(zones, per_zone);
         for _ in 0..40 {
@@ -255,12 +255,12 @@
 }
 
 #[test]
-fn nodes_on_fast_links_speak_for_their_zones_and_all_others_know_it() {
+fn nodes_on_fast_links_become_relays_in_every_view() {
     let (zones, per_zone) = (4, 22);
     // The last nodes of a zone, so that their names tell nothing.
     let is_fast = |number: usize| number % per_zone >= per_zone - 2;
     let link = |place: usize| if place >= per_zone - 2 { 200 } else { 10 };
-    let mut network = Network::on_links(zones, per_zone, link);
+    let mut network = Network::with_links(zones, per_zone, link);
     for _ in 0..80 {
         network.step(|_, _| true);
     }
@@ -268,11 +268,11 @@
         (0..zones * per_zone).filter(|number| is_fast(*number)).map(address).collect();
     for (node, (_, zone, membership)) in &network.nodes {
         assert_eq!(membership.is_relay(), fast.contains(node), "{node}");
-        let mut elsewhere = membership.relays_elsewhere();
-        elsewhere.sort();
+        let mut known_relays = membership.remote_relays();
+        known_relays.sort();
         let expected: Vec<SocketAddr> =
             fast.iter().filter(|relay| network.nodes[*relay].1 != *zone).copied().collect();
-        assert_eq!(elsewhere, expected, "as {node} sees it");
+        assert_eq!(known_relays, expected, "as {node} sees it");
     }
     // Where the fast ones stop, others speak for the zone.
     network.stopped = fast[..2].to_vec();
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn the_loss_of_a_large_zone_is_seen_in_few_rounds() {
+fn the_loss_of_a_large_zone_is_detected_in_few_periods() {
     let (zones, per_zone) = (3, 100);
     let mut network = Network::new(zones, per_zone);
     for _ in 0..400 {
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn silence_is_suspected_before_it_is_death() {
+fn a_silent_node_is_suspect_before_it_is_dead() {
     let mut network = Network::new(1, 3);
     for _ in 0..10 {
         network.step(|_, _| true);
@@ -329,20 +329,20 @@
 
 /// The load: all nodes of three zones of 100 start at once, and each node's heartbeats go to its whole zone.
 #[test]
-fn a_start_of_many_nodes_that_all_tell_each_other_is_told_cheaply() {
+fn a_simultaneous_start_of_broadcasting_nodes_sends_few_updates() {
     let (zones, per_zone) = (3, 100);
     let nodes = zones * per_zone;
-    let mut network = Network::new(zones, per_zone).broadcasting();
-    let mut told = Vec::new();
+    let mut network = Network::new(zones, per_zone).with_broadcast();
+    let mut updates_sent = Vec::new();
     for _ in 0..80 {
         network.step(|_, _| true);
-        told.push(network.told / nodes);
+        updates_sent.push(network.updates_sent / nodes);
     }
     network.assert_views("after the start");
-    let (start, usual) = (told[..20].iter().sum::<usize>(), told[79]);
-    println!("members told by a node: {start} in the first 20 periods, {usual} in one of the last");
+    let (start, steady_state) = (updates_sent[..20].iter().sum::<usize>(), updates_sent[79]);
+    println!("members told by a node: {start} in the first 20 periods, {steady_state} in one of the last");
     assert!(start < 5_000, "{start} in the first 20 periods");
-    assert!(usual <= 2 * per_zone, "{usual} a period");
+    assert!(steady_state <= 2 * per_zone, "{steady_state} a period");
     network.stopped = vec![address(1), address(150), address(250)];
     for _ in 0..60 {
         network.step(|_, _| true);
@@ -352,10 +352,11 @@
 
 /// Guards against: a node that was stopped takes its peers for silent, though what they sent lies unread.
 #[test]
-fn a_nodes_own_standstill_is_not_held_against_its_peers() {
+fn a_stall_of_the_own_process_does_not_make_peers_suspect() {
     let timing = MembershipTiming::default();
-    let standstill = timing.suspect_after * 2;
-    for (excused, expected) in [(standstill, MemberState::Alive), (Duration::ZERO, MemberState::Suspect)] {
+    let stall = timing.suspect_after * 2;
+    for (discounted_stall, expected) in [(stall, MemberState::Alive), (Duration::ZERO, MemberState::Suspect)]
+    {
         let now = Instant::now();
         let mut membership = Membership::new(NodeId::new("own"), ZoneName::new("z"), 1, timing);
         let peer = Envelope {
@@ -365,10 +366,10 @@
             incarnation: 1,
             ..Envelope::default()
         };
-        membership.hear(&peer, now);
+        membership.record_message(&peer, now);
         membership.targets(now);
-        membership.excuse(excused);
-        membership.tick(now + standstill);
+        membership.discount_stall(discounted_stall);
+        membership.tick(now + stall);
         let state = membership.member(&NodeId::new("peer")).map(|member| member.state);
         assert_eq!(state, Some(expected));
     }
--- a/crates/beamwall-peer/tests/network.rs
+++ b/crates/beamwall-peer/tests/network.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use beamwall_lab::running::free_addresses;
-use beamwall_peer::gateway_message::VersionNews;
+use beamwall_peer::gateway_message::VersionUpdate;
 use beamwall_peer::outbox::Outbox;
 use beamwall_peer::{Body, Envelope, PeerError, PeerNetwork};
 use rand::rngs::StdRng;
@@ -25,32 +25,32 @@
 const ROUNDS: usize = 400;
 const ROUND: Duration = Duration::from_millis(10);
 /// Longest wait for what must come.
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn news(from: SocketAddr, version: u64) -> Envelope {
+fn version_message(from: SocketAddr, version: u64) -> Envelope {
     Envelope {
         sender: from.to_string(),
         address: from.to_string(),
-        body: Some(Body::VersionNews(VersionNews { policy_version: version, ..VersionNews::default() })),
+        body: Some(Body::VersionNews(VersionUpdate { policy_version: version, ..VersionUpdate::default() })),
         ..Envelope::default()
     }
 }
 
 fn version(envelope: &Envelope) -> u64 {
     match &envelope.body {
-        Some(Body::VersionNews(news)) => news.policy_version,
+        Some(Body::VersionNews(update)) => update.policy_version,
         other => panic!("unexpected: {other:?}"),
     }
 }
 
 async fn receive(inbox: &mut mpsc::Receiver<Envelope>) -> Envelope {
-    timeout(PATIENCE, inbox.recv()).await.expect("in time").expect("open")
+    timeout(TIMEOUT, inbox.recv()).await.expect("in time").expect("open")
 }
 
 type Node = (Arc<PeerNetwork>, mpsc::Receiver<Envelope>);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn nodes_that_stop_and_start_end_no_other() {
+async fn restarting_nodes_do_not_crash_the_process() {
     let addresses = free_addresses(NODES);
     let mut nodes: Vec<Option<Node>> =
         addresses.iter().map(|address| PeerNetwork::listen(*address).ok()).collect();
@@ -59,7 +59,7 @@
         for (from, node) in nodes.iter().enumerate() {
             let Some((network, _)) = node else { continue };
             for to in addresses.iter().filter(|to| **to != addresses[from]) {
-                network.send(*to, &news(addresses[from], round as u64));
+                network.send(*to, &version_message(addresses[from], round as u64));
             }
         }
         for (number, node) in nodes.iter_mut().enumerate() {
@@ -78,103 +78,103 @@
 }
 
 #[tokio::test]
-async fn messages_arrive_in_order_and_answers_reach_who_asked() {
+async fn messages_arrive_in_order_and_answers_reach_the_requester() {
     let addresses = free_addresses(2);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
-    let (other, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    let (receiver, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
     for number in 1..=100 {
-        one.send(addresses[1], &news(addresses[0], number));
+        sender.send(addresses[1], &version_message(addresses[0], number));
     }
     for number in 1..=100 {
         assert_eq!(version(&receive(&mut inbox).await), number);
     }
     let (from, to) = (addresses[0], addresses[1]);
-    let asked = tokio::spawn(async move { one.ask(to, news(from, 7), PATIENCE).await });
+    let request = tokio::spawn(async move { sender.ask(to, version_message(from, 7), TIMEOUT).await });
     let question = receive(&mut inbox).await;
-    other.send(addresses[0], &Envelope { answers: question.question, ..news(addresses[1], 8) });
-    assert_eq!(version(&asked.await.expect("the task").expect("an answer")), 8);
+    receiver.send(addresses[0], &Envelope { answers: question.question, ..version_message(addresses[1], 8) });
+    assert_eq!(version(&request.await.expect("the task").expect("an answer")), 8);
 }
 
 #[tokio::test]
-async fn a_large_message_arrives_whole_beside_small_ones() {
+async fn a_large_message_arrives_intact_before_a_small_one() {
     let addresses = free_addresses(2);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
-    let (_other, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
-    let large = Envelope { zone: "z".repeat(5 << 20), ..news(addresses[0], 1) };
-    one.send(addresses[1], &large);
-    one.send(addresses[1], &news(addresses[0], 2));
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    let (_receiver, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
+    let large = Envelope { zone: "z".repeat(5 << 20), ..version_message(addresses[0], 1) };
+    sender.send(addresses[1], &large);
+    sender.send(addresses[1], &version_message(addresses[0], 2));
     assert_eq!(receive(&mut inbox).await, large);
     assert_eq!(version(&receive(&mut inbox).await), 2);
 }
 
 #[tokio::test]
-async fn a_peer_that_starts_again_hears_within_a_moment() {
+async fn a_restarted_peer_receives_messages_again() {
     let addresses = free_addresses(2);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
-    for life in 1..=3 {
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    for generation in 1..=3 {
         let since = Instant::now();
-        let (other, mut inbox) = loop {
+        let (receiver, mut inbox) = loop {
             // The life before gives its port back a moment after it was closed.
             match PeerNetwork::listen(addresses[1]) {
                 Ok(node) => break node,
-                Err(error) => assert!(since.elapsed() < PATIENCE, "{error}"),
+                Err(error) => assert!(since.elapsed() < TIMEOUT, "{error}"),
             }
             tokio::time::sleep(ROUND).await;
         };
         while inbox.is_empty() {
-            one.send(addresses[1], &news(addresses[0], life));
+            sender.send(addresses[1], &version_message(addresses[0], generation));
             tokio::time::sleep(ROUND).await;
-            assert!(since.elapsed() < PATIENCE, "life {life} hears nothing");
+            assert!(since.elapsed() < TIMEOUT, "life {generation} hears nothing");
         }
         // What was sent to the life before may still come, but is not old.
-        assert!(version(&receive(&mut inbox).await) + 1 >= life);
-        other.close();
+        assert!(version(&receive(&mut inbox).await) + 1 >= generation);
+        receiver.close();
         drop(inbox);
         // Messages to a peer that is away are lost and block nobody.
-        (0..1_000).for_each(|_| one.send(addresses[1], &news(addresses[0], life)));
+        (0..1_000).for_each(|_| sender.send(addresses[1], &version_message(addresses[0], generation)));
     }
 }
 
 #[tokio::test]
-async fn a_question_to_nobody_ends_by_its_limit() {
+async fn a_request_to_an_absent_peer_times_out() {
     let addresses = free_addresses(2);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
     let limit = Duration::from_millis(200);
-    let answer = one.ask(addresses[1], news(addresses[0], 1), limit).await;
+    let answer = sender.ask(addresses[1], version_message(addresses[0], 1), limit).await;
     assert!(matches!(answer, Err(PeerError::NoAnswer(waited)) if waited == limit));
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_message_end_their_connection_alone() {
+async fn invalid_bytes_close_only_their_connection() {
     let addresses = free_addresses(2);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
-    let (_other, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
-    let mut stranger = TcpStream::connect(addresses[1]).await.expect("connects");
-    stranger.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("writes");
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    let (_receiver, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
+    let mut stream = TcpStream::connect(addresses[1]).await.expect("connects");
+    stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("writes");
     // The first four bytes announce more than a gigabyte.
-    let ended = timeout(PATIENCE, stranger.read(&mut [0; 1])).await.expect("in time");
+    let ended = timeout(TIMEOUT, stream.read(&mut [0; 1])).await.expect("in time");
     assert!(!matches!(ended, Ok(1..)), "the connection is closed");
-    one.send(addresses[1], &news(addresses[0], 1));
+    sender.send(addresses[1], &version_message(addresses[0], 1));
     assert_eq!(version(&receive(&mut inbox).await), 1);
 }
 
 async fn read_version(stream: &mut TcpStream) -> std::io::Result<u64> {
-    let length = timeout(PATIENCE, stream.read_u32()).await??;
+    let length = timeout(TIMEOUT, stream.read_u32()).await??;
     let mut message = vec![0; length as usize];
     stream.read_exact(&mut message).await?;
     Ok(version(&prost::Message::decode(message.as_slice()).expect("a message")))
 }
 
 #[tokio::test]
-async fn a_peer_that_reads_nothing_is_told_what_is_new_once_it_reads() {
+async fn a_peer_that_resumes_reading_receives_recent_messages() {
     let addresses = free_addresses(1);
-    let (one, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
+    let (sender, _inbox) = PeerNetwork::listen(addresses[0]).expect("listens");
     let peer = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = peer.local_addr().expect("an address");
     let filler = "z".repeat(1 << 20);
     let send = |number| {
-        let message = Envelope { zone: filler.clone(), ..news(addresses[0], number) };
-        one.send(address, &message);
+        let message = Envelope { zone: filler.clone(), ..version_message(addresses[0], number) };
+        sender.send(address, &message);
     };
     send(0);
     let (mut stream, _) = peer.accept().await.expect("a connection");
@@ -183,20 +183,20 @@
         send(number);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let mut told = Vec::new();
-    while told.last() != Some(&60) {
+    let mut received = Vec::new();
+    while received.last() != Some(&60) {
         match read_version(&mut stream).await {
-            Ok(number) => told.push(number),
+            Ok(number) => received.push(number),
             // The session gave the connection up meanwhile and opened another.
-            Err(_) => stream = timeout(PATIENCE, peer.accept()).await.expect("in time").expect("accepts").0,
+            Err(_) => stream = timeout(TIMEOUT, peer.accept()).await.expect("in time").expect("accepts").0,
         }
     }
-    assert!(told.is_sorted(), "{told:?}");
-    assert!(told.len() < 58, "old messages are dropped: {told:?}");
+    assert!(received.is_sorted(), "{received:?}");
+    assert!(received.len() < 58, "old messages are dropped: {received:?}");
 }
 
 #[tokio::test]
-async fn of_messages_that_wait_the_oldest_go_first() {
+async fn a_full_outbox_drops_the_oldest_messages() {
     let outbox = Outbox::default();
     let now = Instant::now();
     let dropped = (0..300_u32).filter(|number| outbox.push(number.to_be_bytes().to_vec(), now)).count();
@@ -209,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_has_waited_for_long_is_not_sent() {
+async fn an_expired_message_is_not_sent() {
     let outbox = Outbox::default();
     let now = Instant::now();
     outbox.push(vec![1], now - Duration::from_secs(3));
@@ -219,23 +219,23 @@
 
 /// Whether a member that is silent may still serve: one that is cut off may, one whose process has ended can't.
 #[tokio::test]
-async fn a_peer_whose_process_has_ended_is_told_from_one_that_answers() {
+async fn refused_connections_show_whether_the_peer_process_runs() {
     let addresses = free_addresses(2);
     let (own, _own_inbox) = PeerNetwork::listen(addresses[0]).expect("it listens");
     assert!(!own.is_refused(addresses[1]), "nothing was sent yet");
-    let is_refused = async |expected: bool| {
-        timeout(PATIENCE, async {
+    let wait_for_refused = async |expected: bool| {
+        timeout(TIMEOUT, async {
             while own.is_refused(addresses[1]) != expected {
-                own.send(addresses[1], &news(addresses[0], 1));
+                own.send(addresses[1], &version_message(addresses[0], 1));
                 tokio::time::sleep(ROUND).await;
             }
         })
         .await
         .is_ok()
     };
-    assert!(is_refused(true).await, "nobody listens there");
+    assert!(wait_for_refused(true).await, "nobody listens there");
     let (peer, _peer_inbox) = PeerNetwork::listen(addresses[1]).expect("it listens");
-    assert!(is_refused(false).await, "a process listens there again");
+    assert!(wait_for_refused(false).await, "a process listens there again");
     peer.close();
-    assert!(is_refused(true).await, "it has ended");
+    assert!(wait_for_refused(true).await, "it has ended");
 }
--- a/crates/beamwall-peer/tests/transfer.rs
+++ b/crates/beamwall-peer/tests/transfer.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn answers_pass_one_after_another_whatever_their_size() {
+fn messages_are_admitted_one_after_another_regardless_of_size() {
     // 10 Mbit/s, of which half: 625,000 bytes a second.
     let pacer = TransferPacer::new(10);
     let start = Instant::now();
@@ -18,39 +18,39 @@
 }
 
 /// Bytes that pass in ten seconds when `size` bytes are asked for each millisecond.
-fn passed_in_ten_seconds(link_mbps: u32, size: usize) -> usize {
+fn admitted_bytes_in_ten_seconds(link_mbps: u32, size: usize) -> usize {
     let pacer = TransferPacer::new(link_mbps);
     let start = Instant::now();
-    let passed = (0..10_000).filter(|ms| pacer.admit(size, start + Duration::from_millis(*ms)).is_ok());
-    passed.count() * size
+    let admitted = (0..10_000).filter(|ms| pacer.admit(size, start + Duration::from_millis(*ms)).is_ok());
+    admitted.count() * size
 }
 
 #[test]
-fn many_small_answers_take_no_more_than_half_of_the_link() {
+fn paced_messages_use_at_most_half_of_the_link() {
     for link_mbps in [1, 10, 200] {
         for size in [200, 1_400, 8_000, 100_000] {
-            let passed = passed_in_ten_seconds(link_mbps, size) as f64;
+            let admitted = admitted_bytes_in_ten_seconds(link_mbps, size) as f64;
             let half = f64::from(link_mbps) * 125_000.0 * 10.0 / 2.0;
             // What may stand in line at the end: 20 ms of half of the link, and the last answer.
             assert!(
-                passed <= half * 1.002 + size as f64,
-                "{passed} of {half} at {link_mbps} Mbit/s, {size} bytes"
+                admitted <= half * 1.002 + size as f64,
+                "{admitted} of {half} at {link_mbps} Mbit/s, {size} bytes"
             );
             let asked = 10_000.0 * size as f64;
-            assert!(passed >= half.min(asked) * 0.99 - size as f64, "{passed} of {half}: room was left");
+            assert!(admitted >= half.min(asked) * 0.99 - size as f64, "{admitted} of {half}: room was left");
         }
     }
 }
 
 #[test]
-fn a_fast_link_gives_many_at_once() {
+fn a_fast_link_admits_a_burst() {
     let pacer = TransferPacer::new(200);
     let start = Instant::now();
     assert!((0..20).all(|_| pacer.admit(8_000, start).is_ok()));
 }
 
 #[test]
-fn a_compressed_value_comes_back_and_damaged_bytes_are_refused() {
+fn compressed_values_round_trip_and_damaged_bytes_are_rejected() {
     let value: Vec<String> = (0..1_000).map(|number| format!("route number {number}")).collect();
     let bytes = compressed::encode(&value).expect("bytes");
     assert!(bytes.len() < serde_json::to_vec(&value).expect("text").len() / 3);
