--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::{running, timers};
+use beamwall_clock::{process_clock, timers};
 use beamwall_http::{PoolError, PooledBody, full};
 use beamwall_model::{BackendId, InstanceName};
 use hyper::{Request, Response, StatusCode};
@@ -113,7 +113,7 @@
     };
     let request = build_request(forwarder, call, &target.instance, last_event);
     let work = forwarder.knowledge.loads.open(backend, choice.reading.tokens);
-    let (sent_at, stood_still) = (Instant::now(), running::stood_still());
+    let (sent_at, stood_still) = (Instant::now(), process_clock::stall_time());
     let sent = timers::timeout(limit, forwarder.pool.send(target.address, request)).await;
     let result = match sent {
         None => Err(AttemptFailure::timed_out(limit)),
@@ -129,7 +129,7 @@
         Some(Ok(response)) => check_head(forwarder, call, backend, response, work),
     };
     // An answer may lie unread where this process did not run: its time up tells nothing of the back end.
-    let had_its_time = running::stood_still().saturating_sub(stood_still) < STANDSTILL_BORNE;
+    let had_its_time = process_clock::stall_time().saturating_sub(stood_still) < STANDSTILL_BORNE;
     if !had_its_time && result.as_ref().is_err_and(|failure| failure.timed_out) {
         return result;
     }
--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::AttemptFailed;
 use beamwall_model::BackendId;
@@ -193,7 +193,7 @@
         let left = self.left.clone()?;
         while self.returns < MOST_RETURNS {
             if self.returns > 0 {
-                running::sleep(RETURN_PAUSE).await;
+                process_clock::sleep(RETURN_PAUSE).await;
             }
             self.returns += 1;
             if !self.may_return(forwarder, call, &left.backend) {
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_engine_model::{EngineModels, Reading, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_rollout::{Side, VersionRule};
@@ -126,8 +126,9 @@
     fn health(&self, backend: &Backend, by: ChosenBy, now: Instant) -> HealthView {
         let own = self.health.view(&backend.id, now);
         let is_reported = || by == ChosenBy::Placer && self.reports.is_confirmed(&backend.id, now);
-        let is_cut_off =
-            || self.cut_zones.contains(&backend.zone) && !self.health.is_heard(&backend.id, running::now());
+        let is_cut_off = || {
+            self.cut_zones.contains(&backend.zone) && !self.health.is_heard(&backend.id, process_clock::now())
+        };
         HealthView { unreachable: own.unreachable || is_reported() || is_cut_off(), ..own }
     }
 
@@ -138,7 +139,7 @@
         let mut found = self.health.refusing(now);
         found.extend(self.health.unreachable(now));
         let owing = self.loads.back_ends_answering().into_iter();
-        found.extend(owing.filter(|backend| !self.health.is_heard(backend, running::now())));
+        found.extend(owing.filter(|backend| !self.health.is_heard(backend, process_clock::now())));
         found
     }
 
--- a/crates/beamwall-gateway/src/failover.rs
+++ b/crates/beamwall-gateway/src/failover.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::SilentBackendKept;
 use beamwall_model::BackendId;
@@ -53,7 +53,7 @@
             told = Some(missing);
             note_kept(forwarder, call, silent, missing);
         }
-        running::sleep(LOOK_PERIOD).await;
+        process_clock::sleep(LOOK_PERIOD).await;
     }
 }
 
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -89,7 +89,7 @@
 
     /// Time that is left to the caller. Engines are told it, so it runs on while the machine is suspended.
     pub fn remaining(&self) -> Duration {
-        let asleep = beamwall_clock::asleep().saturating_sub(self.asleep_before);
+        let asleep = beamwall_clock::suspended_time().saturating_sub(self.asleep_before);
         self.deadline.saturating_duration_since(Instant::now()).saturating_sub(asleep)
     }
 
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -177,7 +177,7 @@
         received: Instant,
         context: &mut AnswerContext,
     ) -> Result<Response<Body>, Refusal> {
-        let asleep_before = beamwall_clock::asleep();
+        let asleep_before = beamwall_clock::suspended_time();
         if policy.version() == 0 {
             return Err(Refusal::NotReady);
         }
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_http::Body;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -90,7 +90,7 @@
     attempts: &mut Attempts,
 ) -> Result<Begun, FailedAttempt> {
     let patience = Patience::new(forwarder, call, choice, attempts);
-    let sent_at = running::now();
+    let sent_at = process_clock::now();
     let limit = call.remaining();
     let sent = attempts.sent + 1;
     let mut next_back_end = std::pin::pin!(async {
@@ -128,7 +128,7 @@
         forwarder.note_answer(call, &choice.backend, true);
         return Err(failure.after_begin().into());
     }
-    forwarder.knowledge.health.note_heard(&choice.backend, running::now());
+    forwarder.knowledge.health.note_heard(&choice.backend, process_clock::now());
     source.work.begin_answer();
     note_first_event(forwarder, call, choice, sent_at);
     forwarder.record_run(call);
@@ -143,7 +143,7 @@
 /// stream that continues, tell as much.
 fn note_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
-    let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
+    let took_ms = process_clock::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.knowledge.models;
     models.note_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
     forwarder.note_answer(call, &choice.backend, choice.is_slow(took_ms));
--- a/crates/beamwall-gateway/src/stream/patience.rs
+++ b/crates/beamwall-gateway/src/stream/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
@@ -40,7 +40,7 @@
         attempts: &Attempts,
     ) -> Self {
         let objective = Duration::from_millis(call.route.objective_ms);
-        let now = running::now();
+        let now = process_clock::now();
         let expected_ms = choice.expected_ms.unwrap_or(0.0);
         let expected = Duration::from_secs_f64(expected_ms.max(0.0) / 1_000.0) * EXPECTED_TIMES;
         Self {
@@ -57,9 +57,9 @@
         if !self.may_move {
             return std::future::pending().await;
         }
-        running::sleep(self.until.saturating_duration_since(running::now())).await;
+        process_clock::sleep(self.until.saturating_duration_since(process_clock::now())).await;
         while self.heard_lately() || !self.is_known_silent() {
-            running::sleep(LOOK_PERIOD).await;
+            process_clock::sleep(LOOK_PERIOD).await;
         }
     }
 
@@ -68,10 +68,10 @@
     fn is_known_silent(&self) -> bool {
         let is_gone = self.forwarder.directory.load().get(self.backend).is_none();
         let owes_events = self.forwarder.knowledge.loads.answering(self.backend) > 0;
-        is_gone || owes_events || running::now() >= self.at_the_latest
+        is_gone || owes_events || process_clock::now() >= self.at_the_latest
     }
 
     fn heard_lately(&self) -> bool {
-        self.forwarder.knowledge.health.is_heard(self.backend, running::now())
+        self.forwarder.knowledge.health.is_heard(self.backend, process_clock::now())
     }
 }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::{CallerGone, StreamBroken, StreamContinued, StreamFinished};
 use beamwall_http::{Body, BodySender, channel};
@@ -121,7 +121,7 @@
             };
             match piece {
                 Piece::Events(events) => {
-                    let now = running::now();
+                    let now = process_clock::now();
                     self.forwarder.knowledge.health.note_heard(&source.choice.backend, now);
                     let run = read_run(&events);
                     match &mut pace {
@@ -151,7 +151,7 @@
     }
 
     fn note_whole_stream(&self, pace: &Pace, source: &Source) {
-        let now = running::now();
+        let now = process_clock::now();
         if let Some(between_ms) = pace.at_end(now) {
             self.note_event_gap(source, between_ms);
         }
@@ -174,7 +174,7 @@
             if !may_move {
                 return std::future::pending().await;
             }
-            running::sleep(SILENCE_LIMIT).await;
+            process_clock::sleep(SILENCE_LIMIT).await;
             failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent).await
         };
         tokio::select! {
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::{running, timers};
+use beamwall_clock::{process_clock, timers};
 use beamwall_http::body::ReadError;
 use beamwall_http::{Body, full, read_limited};
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     let mut failed_answer = None;
     let mut next = attempts.first_choice(forwarder, call).await;
     while let Some(choice) = next {
-        let sent_at = running::now();
+        let sent_at = process_clock::now();
         let failed = match open(forwarder, call, &choice, &mut attempts).await {
             Ok(opened) => match read_whole(forwarder, call, opened).await {
                 Ok(whole) if !deserves_retry(call, whole.parts.status) => {
@@ -83,7 +83,7 @@
     let sent = attempts.sent + 1;
     let next_back_end = async {
         match patience {
-            Some(patience) => running::sleep(patience).await,
+            Some(patience) => process_clock::sleep(patience).await,
             None => std::future::pending().await,
         }
         failover::next_back_end(forwarder, call, attempts, sent, &choice.backend).await
@@ -113,7 +113,7 @@
     status: StatusCode,
     sent_at: Instant,
 ) {
-    let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
+    let took_ms = process_clock::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let is_bad = status.is_server_error() || choice.is_slow(took_ms);
     forwarder.note_answer(call, &choice.backend, is_bad);
     let models = &forwarder.knowledge.models;
--- a/crates/beamwall-gateway/tests/ranks.rs
+++ b/crates/beamwall-gateway/tests/ranks.rs
@@ -43,7 +43,7 @@
     let mut call = call(0, None, 100);
     call.deadline = call.received + Duration::from_secs(10);
     let before = call.remaining();
-    beamwall_clock::simulation::suspend_for(asleep);
+    beamwall_clock::simulation::simulate_suspension(asleep);
     let after = call.remaining();
     assert!(after <= before.saturating_sub(asleep), "{before:?} before, {after:?} after");
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -132,7 +132,7 @@
         prompt: Some(Prompt { prompt_tokens, output_tokens: 10, parts: Vec::new() }),
         last_event: None,
         received: now,
-        asleep_before: beamwall_clock::asleep(),
+        asleep_before: beamwall_clock::suspended_time(),
         deadline: now,
         policy_version: 1,
     }
--- a/crates/beamwall-gateway/tests/suspension.rs
+++ b/crates/beamwall-gateway/tests/suspension.rs
@@ -15,7 +15,7 @@
     for peer in ["n1", "n2"] {
         clock.hear(&peer.into(), SystemTime::now(), now());
     }
-    simulation::suspend_for(ASLEEP);
+    simulation::simulate_suspension(ASLEEP);
     // In the simulation the own clock of the day has stood still, and is outvoted by two.
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
     assert!(ahead > ASLEEP - Duration::from_millis(100), "{ahead:?}");
@@ -27,7 +27,7 @@
     for peer in ["n1", "n2"] {
         clock.hear(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
     }
-    simulation::suspend_for(Duration::from_secs(10));
+    simulation::simulate_suspension(Duration::from_secs(10));
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
     assert!(ahead < Duration::from_millis(100), "{ahead:?}");
 }
@@ -41,7 +41,7 @@
     let mut time_is_up = std::pin::pin!(call.time_is_up());
     let at_once = tokio::time::timeout(Duration::from_millis(100), &mut time_is_up).await;
     assert!(at_once.is_err(), "{:?} are left", call.remaining());
-    simulation::suspend_for(ASLEEP);
+    simulation::simulate_suspension(ASLEEP);
     assert_eq!(call.remaining(), Duration::ZERO);
     tokio::time::timeout(ASLEEP * 3 / 4, time_is_up).await.expect("it is up");
 }
--- a/crates/beamwall-http/src/pool.rs
+++ b/crates/beamwall-http/src/pool.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use beamwall_clock::Moment;
+use beamwall_clock::BootInstant;
 use bytes::Bytes;
 use hyper::body::{Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -85,7 +85,7 @@
 struct IdleConnection {
     sender: Sender,
     /// Until when the other side promises to keep it open, also while this machine is suspended.
-    usable_until: Moment,
+    usable_until: BootInstant,
 }
 
 type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>;
@@ -130,7 +130,7 @@
         let mut idle = lock(&self.idle);
         let senders = idle.get_mut(&address)?;
         while let Some(IdleConnection { sender, usable_until }) = senders.pop() {
-            if Moment::now() < usable_until && !sender.is_closed() && sender.is_ready() {
+            if BootInstant::now() < usable_until && !sender.is_closed() && sender.is_ready() {
                 return Some(sender);
             }
         }
@@ -233,7 +233,7 @@
         let mut idle = lock(&self.idle);
         let senders = idle.entry(self.address).or_default();
         if senders.len() < MAX_IDLE_PER_ADDRESS {
-            senders.push(IdleConnection { sender, usable_until: Moment::now() + self.rest_limit });
+            senders.push(IdleConnection { sender, usable_until: BootInstant::now() + self.rest_limit });
         }
     }
 }
--- a/crates/beamwall-http/tests/pool.rs
+++ b/crates/beamwall-http/tests/pool.rs
@@ -62,7 +62,7 @@
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
     ask(&pool, server.address).await;
     ask(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEPT_FOR / 4);
+    beamwall_clock::simulation::simulate_suspension(KEPT_FOR / 4);
     ask(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 1);
 }
@@ -71,7 +71,7 @@
 async fn a_connection_whose_rest_ended_while_the_machine_slept_is_not_used_again() {
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
     ask(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEPT_FOR);
+    beamwall_clock::simulation::simulate_suspension(KEPT_FOR);
     ask(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 2, "the other side may have closed the first");
 }
--- a/crates/beamwall-node/src/actors/membership.rs
+++ b/crates/beamwall-node/src/actors/membership.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::{PeerAlive, PeerDead, PeerSuspect, PeersAlive};
 use beamwall_model::{NodeId, ZoneName};
@@ -35,7 +35,7 @@
 impl MembershipActor {
     /// An owner that publishes to `view`.
     pub fn new(membership: Membership, view: Arc<ArcSwap<MembershipView>>) -> Self {
-        let actor = Self { membership, view, joined: Vec::new(), stood_still: running::stood_still() };
+        let actor = Self { membership, view, joined: Vec::new(), stood_still: process_clock::stall_time() };
         actor.publish();
         actor
     }
@@ -43,7 +43,7 @@
     fn publish(&self) {
         let members = self.membership.members().cloned().collect();
         let is_relay = self.membership.is_relay();
-        let relays_elsewhere = if is_relay { self.membership.relays_elsewhere() } else { Vec::new() };
+        let relays_elsewhere = if is_relay { self.membership.remote_relays() } else { Vec::new() };
         self.view.store(Arc::new(MembershipView {
             incarnation: self.membership.incarnation(),
             members,
@@ -106,14 +106,14 @@
         let sender = NodeId::new(&message.envelope.sender);
         let before = self.membership.member(&sender).map(standing);
         let mut changes: Vec<MembershipChange> =
-            self.membership.hear(&message.envelope, now).into_iter().collect();
+            self.membership.record_message(&message.envelope, now).into_iter().collect();
         changes.extend(self.membership.merge(&message.members, now));
         self.note(&changes);
         let after = self.membership.member(&sender).map(standing);
         if !changes.is_empty() || before != after {
             self.publish();
         }
-        Introduction(self.membership.introduction(&sender, before.is_some(), message.knows))
+        Introduction(self.membership.immediate_updates(&sender, before.is_some(), message.knows))
     }
 }
 
@@ -140,8 +140,8 @@
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self, Self::Reply>) -> TickResult {
         let now = Instant::now();
-        let stood_still = running::stood_still();
-        self.membership.excuse(stood_still.saturating_sub(self.stood_still));
+        let stood_still = process_clock::stall_time();
+        self.membership.discount_stall(stood_still.saturating_sub(self.stood_still));
         self.stood_still = stood_still;
         let changes = self.membership.tick(now);
         log_joined(&std::mem::take(&mut self.joined));
@@ -151,7 +151,7 @@
         let suspected = in_state(MemberState::Suspect)
             .filter_map(|change| {
                 let address = self.membership.member(&change.node)?.address;
-                Some((change.node.clone(), address, self.membership.probers(&change.node)))
+                Some((change.node.clone(), address, self.membership.indirect_probers(&change.node)))
             })
             .collect();
         let sync = self.membership.sync_target().map(|address| (address, self.membership.all_updates()));
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -16,7 +16,7 @@
 use beamwall_gateway::usage::WindowCounts;
 use beamwall_gateway::{Directory, Gateway, Reporter};
 use beamwall_model::{NodeId, ServiceName, TenantName, ZoneName, since_1970_ms};
-use beamwall_peer::gateway_message::{GatewayBeat, PlacementRequest, UsageWindow, VersionNews};
+use beamwall_peer::gateway_message::{GatewayHeartbeat, PlacementRequest, UsageWindow, VersionUpdate};
 use beamwall_peer::message::{MemberUpdate, ProbeRequest};
 use beamwall_peer::{Body, Envelope, Member, MemberState, MembershipTiming, PeerNetwork, TransferPacer};
 use kameo::actor::ActorRef;
@@ -169,7 +169,7 @@
         // A policy may bring tenants whose quotas are shared from now on.
         self.share_limits();
         let directory = self.directory.load();
-        let news = self.envelope(Body::VersionNews(VersionNews {
+        let news = self.envelope(Body::VersionNews(VersionUpdate {
             policy_version: self.gateway.policy.load().version(),
             directory_revision: directory.revision(),
             directory_digest: directory.digest(),
@@ -211,8 +211,8 @@
         let (models, slowness) = self.own_observations();
         let whole = self.to_reply(tick.updates);
         let usage = if self.is_large() { self.usage_to_tell() } else { whole.usage };
-        let beat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..whole };
-        let probe = self.envelope(Body::GatewayBeat(GatewayBeat { wants_answer: true, ..beat.clone() }));
+        let beat = GatewayHeartbeat { quota_uses, demands, models, slowness, usage, ..whole };
+        let probe = self.envelope(Body::GatewayBeat(GatewayHeartbeat { wants_answer: true, ..beat.clone() }));
         let plain = self.envelope(Body::GatewayBeat(beat));
         let probed: HashSet<SocketAddr> =
             tick.targets.iter().filter(|target| target.wants_answer).map(|target| target.address).collect();
@@ -270,10 +270,10 @@
     }
 
     /// A heartbeat for one peer: without quota uses, which all must be told together.
-    fn to_reply(&self, members: Vec<MemberUpdate>) -> GatewayBeat {
+    fn to_reply(&self, members: Vec<MemberUpdate>) -> GatewayHeartbeat {
         let directory = self.directory.load();
         let forwarder = &self.gateway.forwarder;
-        GatewayBeat {
+        GatewayHeartbeat {
             members,
             wants_answer: false,
             policy_version: self.gateway.policy.load().version(),
@@ -349,7 +349,7 @@
         if let Ok(Introduction(members)) = self.membership.ask(hear).await
             && !members.is_empty()
         {
-            let introduction = GatewayBeat { members, ..self.to_reply(Vec::new()) };
+            let introduction = GatewayHeartbeat { members, ..self.to_reply(Vec::new()) };
             self.reply(&envelope, Body::GatewayBeat(introduction));
         }
         match body {
@@ -387,18 +387,18 @@
 
     fn probe_for(&self, probe: &ProbeRequest) {
         if let Ok(address) = probe.address.parse() {
-            let beat = GatewayBeat { wants_answer: true, ..self.to_reply(Vec::new()) };
+            let beat = GatewayHeartbeat { wants_answer: true, ..self.to_reply(Vec::new()) };
             self.network.send(address, &self.envelope(Body::GatewayBeat(beat)));
         }
     }
 
-    fn take_versions(self: &Arc<Self>, envelope: &Envelope, news: VersionNews) {
+    fn take_versions(self: &Arc<Self>, envelope: &Envelope, news: VersionUpdate) {
         let Ok(address) = envelope.address.parse() else { return };
         self.hear_policy_version(address, news.policy_version);
         self.hear_directory(address, news.directory_revision, news.directory_digest);
     }
 
-    fn take_beat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayBeat) {
+    fn take_beat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayHeartbeat) {
         if beat.time_ms > 0 {
             let told = UNIX_EPOCH + Duration::from_millis(beat.time_ms);
             self.gateway.forwarder.clock.hear(&NodeId::new(&envelope.sender), told, beamwall_clock::now());
@@ -406,7 +406,7 @@
         if beat.wants_answer {
             self.reply(envelope, Body::GatewayBeat(self.to_reply(Vec::new())));
         }
-        let held = VersionNews {
+        let held = VersionUpdate {
             policy_version: beat.policy_version,
             directory_revision: beat.directory_revision,
             directory_digest: beat.directory_digest,
@@ -443,7 +443,7 @@
     }
 
     /// Takes what a node tells of its own work.
-    fn take_work(&self, sender: &str, beat: GatewayBeat) {
+    fn take_work(&self, sender: &str, beat: GatewayHeartbeat) {
         let node = NodeId::new(sender);
         if let Some(news) = &beat.rollouts {
             self.take_rollouts_of_node(&node, beat.life, news);
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beamwall_model::NodeId;
-use beamwall_peer::gateway_message::{LifeUsage, UsageKnown, UsageRequest};
+use beamwall_peer::gateway_message::{GenerationUsage, UsageAnswer, UsageRequest};
 use beamwall_peer::{Body, Envelope, MemberState};
 
 use crate::gateway::beat;
@@ -26,14 +26,14 @@
         }
     }
 
-    fn known_usage(&self) -> UsageKnown {
-        let life = |(node, life, usage): (NodeId, u64, Vec<_>)| LifeUsage {
+    fn known_usage(&self) -> UsageAnswer {
+        let life = |(node, life, usage): (NodeId, u64, Vec<_>)| GenerationUsage {
             node: node.to_string(),
             life,
             usage: beat::encode_usage(usage),
         };
         let lives = self.gateway.forwarder.usage.lives(TOLD_WINDOWS);
-        UsageKnown { lives: lives.into_iter().map(life).collect() }
+        UsageAnswer { lives: lives.into_iter().map(life).collect() }
     }
 
     /// Asks the member that has lived longest for what it knows, until one answers.
@@ -62,7 +62,7 @@
         close.min_by_key(|member| member.incarnation).map(|member| member.address)
     }
 
-    fn take_known_usage(&self, known: UsageKnown) {
+    fn take_known_usage(&self, known: UsageAnswer) {
         let usage = &self.gateway.forwarder.usage;
         // What was counted here before this life is what others know of it.
         for life in known.lives.into_iter().filter(|life| life.life != self.life) {
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -354,8 +354,8 @@
 ) -> Exchange {
     let membership =
         Membership::new(settings.node.clone(), settings.zone.clone(), life, MembershipTiming::default())
-            .on_link(settings.link_mbps)
-            .broadcasting();
+            .with_link(settings.link_mbps)
+            .with_broadcast();
     let directory = gateway.forwarder.directory.clone();
     let versions: Arc<Notify> = Arc::default();
     let transfers = Arc::new(TransferPacer::new(settings.link_mbps));
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/placing.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_config::GatewaySettings;
 use beamwall_engine_model::Reading;
 use beamwall_events::emit;
@@ -71,7 +71,7 @@
         let Placer::Peer(placer) = placer else { return PlacementAnswer::PlaceHere };
         let body = Body::PlacementRequest(encode(question));
         let envelope = Envelope { body: Some(body), ..self.envelope.clone() };
-        let stood_still = running::stood_still();
+        let stood_still = process_clock::stall_time();
         match self.network.ask(placer.address, envelope, ANSWER_LIMIT).await.map(|answer| answer.body) {
             Ok(Some(Body::PlacementReply(reply))) if !reply.backend.is_empty() => {
                 self.lock().note_answer(&placer.node);
@@ -80,7 +80,7 @@
             // It found no engine, as a node that has just started, or did not answer in time.
             Ok(_) | Err(_) => {
                 // Its answer may lie unread where this process did not run.
-                if running::stood_still() == stood_still {
+                if process_clock::stall_time() == stood_still {
                     self.note_miss(&placer.node);
                 }
                 PlacementAnswer::Unanswered
--- a/crates/beamwall-node/src/gateway/quarantine_news.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_news.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_peer::quarantine_message::{QuarantineNews, QuarantineRequest};
+use beamwall_peer::quarantine_message::{QuarantineRequest, QuarantineUpdate};
 use beamwall_peer::{Body, Envelope};
 use prost::Message;
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
     }
 
     /// Takes evidence from a peer; a relay passes on what comes from another zone.
-    pub(super) fn take_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
+    pub(super) fn take_quarantine_news(&self, envelope: &Envelope, news: &QuarantineUpdate) {
         let new = self.gateway.forwarder.quarantine.hear(decode(news));
         if new.is_empty() || !self.is_large() || envelope.zone == self.zone.as_str() {
             return;
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -5,17 +5,17 @@
 
 use beamwall_model::{BackendId, EngineVersion, ServiceName, to_ms};
 use beamwall_peer::rollout_message::{
-    RolloutNews, ToldAnswers, ToldEvidence, ToldOrder, ToldOrderId, ToldStage,
+    AnswerCountsMessage, EvidenceMessage, OrderIdMessage, OrderMessage, RolloutUpdate, StageMessage,
 };
 use beamwall_rollout::{
     AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderNews, RolloutOrder, Stage, StageNews, Verdict,
 };
 
-fn encode_id(id: &OrderId) -> Option<ToldOrderId> {
-    Some(ToldOrderId { service: id.service.to_string(), target: id.target.to_string(), made: id.made })
+fn encode_id(id: &OrderId) -> Option<OrderIdMessage> {
+    Some(OrderIdMessage { service: id.service.to_string(), target: id.target.to_string(), made: id.made })
 }
 
-fn decode_id(id: Option<&ToldOrderId>) -> Option<OrderId> {
+fn decode_id(id: Option<&OrderIdMessage>) -> Option<OrderId> {
     let id = id?;
     Some(OrderId {
         service: ServiceName::new(&id.service),
@@ -45,16 +45,16 @@
     orders: Vec<OrderNews>,
     stages: Vec<StageNews>,
     evidence: Vec<(OrderId, Evidence)>,
-) -> Option<RolloutNews> {
-    (!orders.is_empty()).then(|| RolloutNews {
+) -> Option<RolloutUpdate> {
+    (!orders.is_empty()).then(|| RolloutUpdate {
         orders: orders.iter().map(encode_order).collect(),
         stages: stages.iter().map(encode_stage).collect(),
         evidence: evidence.iter().map(encode_evidence).collect(),
     })
 }
 
-fn encode_order(news: &OrderNews) -> ToldOrder {
-    ToldOrder {
+fn encode_order(news: &OrderNews) -> OrderMessage {
+    OrderMessage {
         id: encode_id(&news.order.id),
         interval_ms: to_ms(news.order.interval),
         revision: news.revision,
@@ -64,8 +64,8 @@
     }
 }
 
-fn encode_stage(news: &StageNews) -> ToldStage {
-    ToldStage {
+fn encode_stage(news: &StageNews) -> StageMessage {
+    StageMessage {
         id: encode_id(&news.order),
         epoch: news.mark.0,
         number: news.mark.1,
@@ -76,10 +76,10 @@
     }
 }
 
-fn encode_evidence((id, evidence): &(OrderId, Evidence)) -> ToldEvidence {
+fn encode_evidence((id, evidence): &(OrderId, Evidence)) -> EvidenceMessage {
     let mut answers = encode_sums_by_route(&evidence.old);
     answers.extend(encode_counts(&evidence.new));
-    ToldEvidence {
+    EvidenceMessage {
         id: encode_id(id),
         requests: evidence.requests,
         exposed: evidence.exposed,
@@ -88,8 +88,8 @@
     }
 }
 
-fn encode_counts(counts: &CountsByBackEnd) -> Vec<ToldAnswers> {
-    let row = |((route, back_end), counts): (&(String, BackendId), &AnswerCounts)| ToldAnswers {
+fn encode_counts(counts: &CountsByBackEnd) -> Vec<AnswerCountsMessage> {
+    let row = |((route, back_end), counts): (&(String, BackendId), &AnswerCounts)| AnswerCountsMessage {
         route: route.clone(),
         back_end: back_end.to_string(),
         answers: counts.answers,
@@ -99,12 +99,12 @@
 }
 
 /// The sums that builds read which do not tell the old version's back ends apart.
-fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<ToldAnswers> {
+fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<AnswerCountsMessage> {
     let mut sums: BTreeMap<&str, AnswerCounts> = BTreeMap::new();
     for ((route, _), counts) in counts {
         sums.entry(route).or_default().add(*counts);
     }
-    let row = |(route, sum): (&str, AnswerCounts)| ToldAnswers {
+    let row = |(route, sum): (&str, AnswerCounts)| AnswerCountsMessage {
         route: route.to_owned(),
         back_end: String::new(),
         answers: sum.answers,
@@ -114,8 +114,8 @@
 }
 
 /// Orders as heard.
-pub fn decode_orders(news: &RolloutNews) -> Vec<OrderNews> {
-    let decode = |told: &ToldOrder| {
+pub fn decode_orders(news: &RolloutUpdate) -> Vec<OrderNews> {
+    let decode = |told: &OrderMessage| {
         Some(OrderNews {
             order: RolloutOrder {
                 id: decode_id(told.id.as_ref())?,
@@ -131,8 +131,8 @@
 }
 
 /// Stages as heard.
-pub fn decode_stages(news: &RolloutNews) -> Vec<StageNews> {
-    let decode = |told: &ToldStage| {
+pub fn decode_stages(news: &RolloutUpdate) -> Vec<StageNews> {
+    let decode = |told: &StageMessage| {
         Some(StageNews {
             order: decode_id(told.id.as_ref())?,
             mark: (told.epoch, told.number),
@@ -149,9 +149,9 @@
 
 /// What others counted. Builds that do not tell the old version's back ends apart tell their sums: these stand as those of one
 /// back end without a name.
-pub fn decode_evidence(news: &RolloutNews) -> Vec<(OrderId, Evidence)> {
-    let decode = |told: &ToldEvidence| {
-        let (sums, of_new): (Vec<&ToldAnswers>, Vec<&ToldAnswers>) =
+pub fn decode_evidence(news: &RolloutUpdate) -> Vec<(OrderId, Evidence)> {
+    let decode = |told: &EvidenceMessage| {
+        let (sums, of_new): (Vec<&AnswerCountsMessage>, Vec<&AnswerCountsMessage>) =
             told.answers.iter().partition(|row| row.back_end.is_empty());
         let of_old = if told.old_answers.is_empty() { sums } else { told.old_answers.iter().collect() };
         let evidence = Evidence {
@@ -165,8 +165,8 @@
     news.evidence.iter().filter_map(decode).collect()
 }
 
-fn decode_counts(rows: Vec<&ToldAnswers>) -> CountsByBackEnd {
-    let decode = |row: &ToldAnswers| {
+fn decode_counts(rows: Vec<&AnswerCountsMessage>) -> CountsByBackEnd {
+    let decode = |row: &AnswerCountsMessage| {
         let counts = AnswerCounts { answers: row.answers, bad: row.bad };
         ((row.route.clone(), BackendId::new(&row.back_end)), counts)
     };
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -9,7 +9,7 @@
 use beamwall_gateway::ControlStoreError;
 use beamwall_gateway::ports::{ListedOrder, ListedOrders, RolloutStore};
 use beamwall_model::{NodeId, ServiceName, ZoneName};
-use beamwall_peer::rollout_message::RolloutNews;
+use beamwall_peer::rollout_message::RolloutUpdate;
 use beamwall_rollout::{OrderNews, RolloutBook};
 
 use crate::gateway::exchange::Exchange;
@@ -113,31 +113,31 @@
     }
 
     /// What this node knows of rollouts, with what it counted itself.
-    pub(super) fn rollouts_to_tell(&self) -> Option<RolloutNews> {
+    pub(super) fn rollouts_to_tell(&self) -> Option<RolloutUpdate> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.own_evidence())
     }
 
     /// The same for other zones, with what all nodes of this one counted.
-    pub(super) fn rollouts_of_zone(&self) -> Option<RolloutNews> {
+    pub(super) fn rollouts_of_zone(&self) -> Option<RolloutUpdate> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.evidence_of_nodes())
     }
 
     /// Takes what a node tells of rollouts and counted itself.
-    pub(super) fn take_rollouts_of_node(&self, node: &NodeId, life: u64, news: &RolloutNews) {
+    pub(super) fn take_rollouts_of_node(&self, node: &NodeId, life: u64, news: &RolloutUpdate) {
         self.take_rollouts(news);
         self.rollouts().hear_node(node, life, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes what a relay tells of rollouts and its zone counted.
-    pub(super) fn take_rollouts_of_zone(&self, zone: &ZoneName, news: &RolloutNews) {
+    pub(super) fn take_rollouts_of_zone(&self, zone: &ZoneName, news: &RolloutUpdate) {
         self.take_rollouts(news);
         self.rollouts().hear_zone(zone, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes orders and stages; news of an order goes on at once.
-    fn take_rollouts(&self, news: &RolloutNews) {
+    fn take_rollouts(&self, news: &RolloutUpdate) {
         let book = self.rollouts();
         let mut has_changed = false;
         for order in rollout_wire::decode_orders(news) {
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -85,7 +85,7 @@
 }
 
 fn is_heard(member: &Member, within: Duration, now: Instant) -> bool {
-    member.heard.is_some_and(|heard| now.duration_since(heard) < within)
+    member.last_received.is_some_and(|heard| now.duration_since(heard) < within)
 }
 
 /// Whether a member may still serve callers.
--- a/crates/beamwall-node/src/gateway/standstill.rs
+++ b/crates/beamwall-node/src/gateway/standstill.rs
@@ -1,10 +1,10 @@
 //! Notices that this process did not run for a while: it was stopped, got no processor, or a step of its work took that long.
 //!
-//! What counts against others leaves that time out by itself (`beamwall_clock::running`). Here the node tells of it.
+//! What counts against others leaves that time out by itself (`beamwall_clock::process_clock`). Here the node tells of it.
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::ProcessStoodStill;
 use prometheus::{Histogram, HistogramOpts, Registry};
@@ -33,7 +33,7 @@
 
     /// Watches this process and its machine until the task is ended.
     pub async fn watch(self, mut suspensions: Suspensions) {
-        running::watch(move |late| {
+        process_clock::monitor(move |late| {
             self.note(late);
             suspensions.look();
         })
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension.rs
@@ -22,12 +22,12 @@
 impl Suspensions {
     /// Knows the suspensions until now; `news` is told after each further one.
     pub fn new(news: Arc<Notify>) -> Self {
-        Self { before: beamwall_clock::asleep(), news }
+        Self { before: beamwall_clock::suspended_time(), news }
     }
 
     /// Looks whether the machine was suspended since the last look.
     pub fn look(&mut self) {
-        let asleep = beamwall_clock::asleep();
+        let asleep = beamwall_clock::suspended_time();
         let length = asleep.saturating_sub(self.before);
         self.before = asleep;
         if length >= SHORTEST {
--- a/crates/beamwall-node/src/operators/status.rs
+++ b/crates/beamwall-node/src/operators/status.rs
@@ -42,7 +42,7 @@
         "revision": member.revision,
         "ready": member.ready,
         "draining": member.draining,
-        "silent_ms": member.heard.map(|heard| heard.elapsed().as_millis() as u64),
+        "silent_ms": member.last_received.map(|heard| heard.elapsed().as_millis() as u64),
     })
 }
 
--- a/crates/beamwall-node/src/tasks/heartbeat.rs
+++ b/crates/beamwall-node/src/tasks/heartbeat.rs
@@ -4,7 +4,7 @@
 
 use beamwall_fleet::LeavingSource;
 use beamwall_model::{BackendId, NodeId};
-use beamwall_peer::message::{Heartbeat, LeavingMark, ProbeRequest, TenantDemand};
+use beamwall_peer::message::{Heartbeat, LeavingBackend, ProbeRequest, TenantDemand};
 use beamwall_peer::{Body, MembershipTiming};
 use tokio::time::Instant;
 
@@ -86,9 +86,9 @@
     demands.iter().map(demand).collect()
 }
 
-fn to_marks(news: &FleetNews) -> Vec<LeavingMark> {
+fn to_marks(news: &FleetNews) -> Vec<LeavingBackend> {
     let now = Instant::now();
-    let mark = |(backend, source, deadline): &(BackendId, LeavingSource, Option<Instant>)| LeavingMark {
+    let mark = |(backend, source, deadline): &(BackendId, LeavingSource, Option<Instant>)| LeavingBackend {
         backend: backend.to_string(),
         source: source.as_str().to_owned(),
         remaining_ms: deadline.map(|at| at.saturating_duration_since(now).as_millis() as u64),
--- a/crates/beamwall-node/src/tasks/inbox.rs
+++ b/crates/beamwall-node/src/tasks/inbox.rs
@@ -7,7 +7,7 @@
 
 use beamwall_fleet::{BackendReport, LeavingSource};
 use beamwall_model::{BackendId, NodeId, TenantName};
-use beamwall_peer::message::{self, HandoverAnswer, Heartbeat, ProbeRequest, RequestFound};
+use beamwall_peer::message::{self, HandoverAnswer, Heartbeat, ProbeRequest, RequestQueryAnswer};
 use beamwall_peer::{Body, Envelope};
 use beamwall_routing::tenant_limit::Demand;
 use tokio::sync::mpsc;
@@ -62,7 +62,7 @@
             let id = beamwall_model::RequestId::new(&query.request);
             let found = shared.registry.find(&id, &TenantName::new(&query.tenant)).is_some();
             let callers = shared.settings.callers.to_string();
-            answer(shared, &envelope, Body::RequestFound(RequestFound { found, callers }));
+            answer(shared, &envelope, Body::RequestFound(RequestQueryAnswer { found, callers }));
         }
         Some(Body::ClaimRequest(request)) => {
             tokio::spawn(claims::decide(shared.clone(), envelope, request));
@@ -138,7 +138,7 @@
         shared.peer_machines_digest.store(heartbeat.machines_digest, Ordering::Relaxed);
     }
     let now = Instant::now();
-    let mark = |mark: &message::LeavingMark| {
+    let mark = |mark: &message::LeavingBackend| {
         let deadline = mark.remaining_ms.map(|left| now + Duration::from_millis(left));
         (BackendId::new(&mark.backend), LeavingSource::parse(&mark.source), deadline)
     };
--- a/crates/beamwall-node/src/tasks/quarantine.rs
+++ b/crates/beamwall-node/src/tasks/quarantine.rs
@@ -8,7 +8,7 @@
 use beamwall_fleet::FleetView;
 use beamwall_gateway::quarantine::{ListedBackend, ListedBackends, Quarantine};
 use beamwall_model::BackendId;
-use beamwall_peer::quarantine_message::QuarantineNews;
+use beamwall_peer::quarantine_message::QuarantineUpdate;
 use beamwall_peer::{Body, Envelope, MemberState};
 use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest};
 use beamwall_request::RequestGuard;
@@ -78,7 +78,7 @@
 
 /// Takes what a peer tells. A relay passes on what is new to it: to its zone what comes from others, to the other zones what comes
 /// from its own.
-pub fn hear(shared: &Shared, envelope: &Envelope, news: &QuarantineNews) {
+pub fn hear(shared: &Shared, envelope: &Envelope, news: &QuarantineUpdate) {
     let new = shared.quarantine.quarantine.hear(quarantine_wire::decode(news));
     if new.is_empty() || !shared.members.load().is_relay {
         return;
--- a/crates/beamwall-node/src/tasks/tree_spread.rs
+++ b/crates/beamwall-node/src/tasks/tree_spread.rs
@@ -12,7 +12,7 @@
 
 use beamwall_config::edit::Change;
 use beamwall_config::{ConfigTree, TreePath};
-use beamwall_peer::message::{TreeChange, TreeChanges, TreeDocument, TreeRequest, TreeWhole};
+use beamwall_peer::message::{TreeChange, TreeChanges, TreeDocument, TreeRequest, TreeSnapshot};
 use beamwall_peer::{Body, Envelope};
 
 use crate::actors::tree::{ActivateChange, ActivateWhole};
@@ -67,7 +67,7 @@
     true
 }
 
-async fn take_whole(shared: &Arc<Shared>, whole: TreeWhole, sender: &str) {
+async fn take_whole(shared: &Arc<Shared>, whole: TreeSnapshot, sender: &str) {
     if whole.revision <= shared.tree.load().revision {
         return;
     }
@@ -98,10 +98,10 @@
     Some(active.recent[start..].iter().map(|change| to_message(change)).collect())
 }
 
-fn whole_tree(revision: u64, tree: &ConfigTree) -> TreeWhole {
+fn whole_tree(revision: u64, tree: &ConfigTree) -> TreeSnapshot {
     let document =
         |(path, text): (TreePath, String)| TreeDocument { path: path.to_string(), text: Some(text) };
-    TreeWhole { revision, documents: tree.documents().into_iter().map(document).collect() }
+    TreeSnapshot { revision, documents: tree.documents().into_iter().map(document).collect() }
 }
 
 fn to_message(change: &RecentChange) -> TreeChange {
--- a/crates/beamwall-node/tests/earlier_builds.rs
+++ b/crates/beamwall-node/tests/earlier_builds.rs
@@ -14,13 +14,13 @@
 use beamwall_model::{BackendId, EngineVersion, InstanceName, ServiceName, ZoneName};
 use beamwall_node::gateway::directory_wire::{self, ToldDirectory};
 use beamwall_peer::gateway_message::{
-    BackendLoad, BackendSlowness, DirectoryAnswer, DirectoryRequest, GatewayBeat, LifeUsage, PlacementPart,
-    PlacementReply, PlacementRequest, PolicyAnswer, PolicyRequest, QuotaUse, ServiceDemand, ServiceModel,
-    UsageCount, UsageKnown, UsageRequest, UsageWindow, VersionNews, ZoneSummary,
+    BackendLoad, BackendSlowness, DirectoryAnswer, DirectoryRequest, GatewayHeartbeat, GenerationUsage,
+    PlacementPart, PlacementReply, PlacementRequest, PolicyAnswer, PolicyRequest, QuotaUse, ServiceDemand,
+    ServiceModel, UsageAnswer, UsageCount, UsageRequest, UsageWindow, VersionUpdate, ZoneSummary,
 };
 use beamwall_peer::message::{MemberUpdate, ProbeRequest};
 use beamwall_peer::quarantine_message::{
-    QuarantineNews, QuarantineRequest, ToldCompletion, ToldEnding, ToldTrial,
+    CompletionMessage, QuarantineRequest, QuarantineUpdate, TerminationMessage, TrialMessage,
 };
 use beamwall_peer::{Body, Envelope};
 use beamwall_seeds::on_seeds;
@@ -96,8 +96,8 @@
     }]
 }
 
-fn beat() -> GatewayBeat {
-    GatewayBeat {
+fn beat() -> GatewayHeartbeat {
+    GatewayHeartbeat {
         members: members(),
         wants_answer: true,
         policy_version: 12,
@@ -110,7 +110,7 @@
         demands: demands(),
         models: models(),
         slowness: slowness(),
-        ..GatewayBeat::default()
+        ..GatewayHeartbeat::default()
     }
 }
 
@@ -164,14 +164,14 @@
 
 /// What every recorded build sends in the same form, with its name on file.
 fn unchanged() -> Vec<(&'static str, Body)> {
-    let versions = VersionNews {
+    let versions = VersionUpdate {
         policy_version: 12,
         directory_revision: 40,
         directory_digest: 0x0123_4567_89ab_cdef,
         life: 0,
     };
     let policy_request = PolicyRequest { held_version: 12, held_digest: 0x0123_4567_89ab_cdef };
-    let life = LifeUsage { node: "node-2".to_owned(), life: 1_700_000_000_002, usage: usage() };
+    let life = GenerationUsage { node: "node-2".to_owned(), life: 1_700_000_000_002, usage: usage() };
     let probe = ProbeRequest { node: "node-2".to_owned(), address: "127.0.0.1:7002".to_owned() };
     vec![
         ("beat", Body::GatewayBeat(beat())),
@@ -180,7 +180,7 @@
         ("policy_request", Body::PolicyRequest(policy_request)),
         ("policy_answer", Body::PolicyAnswer(PolicyAnswer { change: vec![1, 2, 3], busy_for_ms: 20 })),
         ("usage_request", Body::UsageRequest(UsageRequest {})),
-        ("usage_known", Body::UsageKnown(UsageKnown { lives: vec![life] })),
+        ("usage_known", Body::UsageKnown(UsageAnswer { lives: vec![life] })),
         ("placement_request", Body::PlacementRequest(placement_request())),
         ("placement_reply", Body::PlacementReply(placement_reply())),
         ("probe", Body::ProbeRequest(probe)),
@@ -231,18 +231,18 @@
 
 fn check_held_requests(recorded: &str) {
     let read = |name| Envelope::decode(read(recorded, name).as_slice()).expect("it can be read");
-    let news = QuarantineNews {
-        endings: vec![ToldEnding {
+    let news = QuarantineUpdate {
+        endings: vec![TerminationMessage {
             backend: "i-3".to_owned(),
             at_ms: 1_700_000_000_003,
             open: (0..32).collect(),
         }],
-        completions: vec![ToldCompletion { request: (0..16).collect(), at_ms: 1_700_000_000_004 }],
-        trials: vec![ToldTrial { request: (16..32).collect(), number: 2, at_ms: 1_700_000_000_005 }],
+        completions: vec![CompletionMessage { request: (0..16).collect(), at_ms: 1_700_000_000_004 }],
+        trials: vec![TrialMessage { request: (16..32).collect(), number: 2, at_ms: 1_700_000_000_005 }],
     };
     assert_eq!(read("quarantine_news"), envelope(Body::QuarantineNews(news)));
     assert_eq!(read("quarantine_request"), envelope(Body::QuarantineRequest(QuarantineRequest {})));
-    let with_digest = GatewayBeat { members_known: 3, time_ms: 9, quarantine_digest: 77, ..beat() };
+    let with_digest = GatewayHeartbeat { members_known: 3, time_ms: 9, quarantine_digest: 77, ..beat() };
     assert_eq!(read("beat_with_digest"), envelope(Body::GatewayBeat(with_digest)));
     let asks = DirectoryRequest { held_revision: 40, reads_names: true };
     assert_eq!(read("directory_request"), envelope(Body::DirectoryRequest(asks)));
@@ -323,7 +323,7 @@
         assert_eq!((read.sender.as_str(), read.question, read.link_mbps), ("node-1", 5, 100), "{name}");
         assert_eq!(read.encode_to_vec(), bytes, "{name}: nothing is lost");
     }
-    let newer = GatewayBeat { members_known: 3, time_ms: 9, quarantine_digest: 77, ..beat() };
+    let newer = GatewayHeartbeat { members_known: 3, time_ms: 9, quarantine_digest: 77, ..beat() };
     let bytes = envelope(Body::GatewayBeat(newer)).encode_to_vec();
     let read = earlier::Envelope::decode(bytes.as_slice()).expect("new fields are passed over");
     let Some(earlier::Body::GatewayBeat(read)) = read.body else { panic!() };
--- a/crates/beamwall-node/tests/placers.rs
+++ b/crates/beamwall-node/tests/placers.rs
@@ -41,7 +41,7 @@
         incarnation: 1,
         state: MemberState::Alive,
         since: Instant::now(),
-        heard: None,
+        last_received: None,
         revision: 0,
         digest: 0,
         ready: zone(number) == zone(own),
--- a/crates/beamwall-node/tests/rollout_wire.rs
+++ b/crates/beamwall-node/tests/rollout_wire.rs
@@ -3,7 +3,7 @@
 
 use beamwall_model::BackendId;
 use beamwall_node::gateway::rollout_wire;
-use beamwall_peer::rollout_message::{RolloutNews, ToldAnswers, ToldEvidence, ToldOrderId};
+use beamwall_peer::rollout_message::{AnswerCountsMessage, EvidenceMessage, OrderIdMessage, RolloutUpdate};
 use beamwall_rollout::{AnswerCounts, Evidence, OrderId, OrderNews, RolloutOrder, Verdict};
 use prost::Message;
 use std::time::Duration;
@@ -39,12 +39,12 @@
     evidence
 }
 
-fn tell(evidence: Evidence) -> RolloutNews {
+fn tell(evidence: Evidence) -> RolloutUpdate {
     rollout_wire::encode(vec![order()], Vec::new(), vec![(id(), evidence)]).expect("an order runs")
 }
 
-fn row(route: &str, back_end: &str, answers: u64, bad: u64) -> ToldAnswers {
-    ToldAnswers { route: route.to_owned(), back_end: back_end.to_owned(), answers, bad }
+fn row(route: &str, back_end: &str, answers: u64, bad: u64) -> AnswerCountsMessage {
+    AnswerCountsMessage { route: route.to_owned(), back_end: back_end.to_owned(), answers, bad }
 }
 
 #[test]
@@ -65,14 +65,14 @@
 
 #[test]
 fn sums_of_builds_that_tell_nothing_else_count_whole() {
-    let told = ToldEvidence {
-        id: Some(ToldOrderId { service: "pool".to_owned(), target: "v2".to_owned(), made: 7 }),
+    let told = EvidenceMessage {
+        id: Some(OrderIdMessage { service: "pool".to_owned(), target: "v2".to_owned(), made: 7 }),
         requests: 100,
         exposed: 10,
         answers: vec![row("letters", "", 70, 3), row("letters", "new-1", 10, 5)],
         old_answers: Vec::new(),
     };
-    let news = RolloutNews { orders: Vec::new(), stages: Vec::new(), evidence: vec![told] };
+    let news = RolloutUpdate { orders: Vec::new(), stages: Vec::new(), evidence: vec![told] };
     let (_, heard) = &rollout_wire::decode_evidence(&news)[0];
     assert_eq!(heard.old[&key("letters", "")], AnswerCounts { answers: 70, bad: 3 });
     assert_eq!((heard.old.len(), heard.new.len()), (1, 1));
--- a/crates/beamwall-store/src/lease.rs
+++ b/crates/beamwall-store/src/lease.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::Moment;
+use beamwall_clock::BootInstant;
 use beamwall_model::NodeId;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -88,14 +88,14 @@
     /// The epoch last seen.
     pub epoch: u64,
     /// Until when this node may act; `None` when it is not the holder.
-    pub valid_until: Option<Moment>,
+    pub valid_until: Option<BootInstant>,
 }
 
 impl LeaseState {
     /// The epoch under which this node may act right now.
     pub fn held_epoch(&self) -> Option<u64> {
         let until = self.valid_until?;
-        (Moment::now() + SAFETY_MARGIN < until).then_some(self.epoch)
+        (BootInstant::now() + SAFETY_MARGIN < until).then_some(self.epoch)
     }
 }
 
@@ -109,7 +109,7 @@
     kept_changes: u64,
     store: Arc<dyn VersionedObjects>,
     state: watch::Sender<LeaseState>,
-    seen: Option<(Version, Moment)>,
+    seen: Option<(Version, BootInstant)>,
     /// The highest epoch seen: one that was given is never given again, whatever another writer makes of the object.
     highest_epoch: u64,
     /// The version of this node's own last write, which the next renewal names without reading.
@@ -173,7 +173,7 @@
     /// Waits until the next step is due.
     pub async fn pause(&self) {
         let since = Instant::now();
-        if self.current_epoch(Moment::now()).is_none() {
+        if self.current_epoch(BootInstant::now()).is_none() {
             return tokio::time::sleep(self.time_to_look()).await;
         }
         tokio::time::sleep(KEEP_PERIOD).await;
@@ -194,7 +194,7 @@
 
     /// One look and, when due, one write.
     pub async fn step(&mut self) -> Result<(), ObjectError> {
-        let sent = Moment::now();
+        let sent = BootInstant::now();
         if let Some(version) = self.held_version.take()
             && let Some(epoch) = self.current_epoch(sent)
         {
@@ -211,7 +211,7 @@
         if self.unchanged_for() >= self.takeover_wait(&record) {
             let epoch = self.highest_epoch + 1;
             self.checkpoint.take_over(&record.checkpoint);
-            return self.write(object.version, epoch, Moment::now()).await;
+            return self.write(object.version, epoch, BootInstant::now()).await;
         }
         Ok(())
     }
@@ -220,12 +220,12 @@
     /// it: after a restart the name is the same and the earlier process may have orders in flight.
     fn is_holder(&self, record: &LeaseRecord) -> bool {
         let state = self.state.borrow();
-        let current = state.valid_until.is_some_and(|until| Moment::now() < until);
+        let current = state.valid_until.is_some_and(|until| BootInstant::now() < until);
         record.holder == self.node.as_str() && record.epoch == state.epoch && current
     }
 
     /// The epoch that this process holds, if its time is not over.
-    fn current_epoch(&self, now: Moment) -> Option<u64> {
+    fn current_epoch(&self, now: BootInstant) -> Option<u64> {
         let state = self.state.borrow();
         let until = state.valid_until?;
         (now < until).then_some(state.epoch)
@@ -240,7 +240,7 @@
     fn note_other(&mut self, object: &Object, record: &LeaseRecord) {
         self.highest_epoch = self.highest_epoch.max(record.epoch);
         if self.seen.is_none_or(|(version, _)| version != object.version) {
-            self.seen = Some((object.version, Moment::now()));
+            self.seen = Some((object.version, BootInstant::now()));
         }
         let state = LeaseState { holder: record.holder.clone(), epoch: record.epoch, valid_until: None };
         self.state.send_if_modified(|current| {
@@ -254,7 +254,7 @@
         self.seen.map_or(Duration::ZERO, |(_, since)| since.elapsed())
     }
 
-    async fn write(&mut self, expected: Version, epoch: u64, sent: Moment) -> Result<(), ObjectError> {
+    async fn write(&mut self, expected: Version, epoch: u64, sent: BootInstant) -> Result<(), ObjectError> {
         self.renewal += 1;
         let changes = self.checkpoint.changes();
         let record = LeaseRecord {
--- a/crates/beamwall-store/tests/lease.rs
+++ b/crates/beamwall-store/tests/lease.rs
@@ -84,7 +84,7 @@
     first.step().await.expect("platform answers");
     assert_eq!(first_state.borrow().held_epoch(), Some(1));
     // The machine sleeps for a while, and its steady clock stands still.
-    beamwall_clock::simulation::suspend_for(LEASE_TTL);
+    beamwall_clock::simulation::simulate_suspension(LEASE_TTL);
     assert_eq!(first_state.borrow().held_epoch(), None, "the term has run on");
     // What it writes first is no renewal: another may have held the lease meanwhile.
     first.step().await.expect("platform answers");
@@ -114,7 +114,7 @@
         for _ in 0..STEPS_OF_A_LIFE {
             lease.step().await.expect("platform answers");
             held = held.or(state.borrow().held_epoch());
-            beamwall_clock::simulation::suspend_for(STEP);
+            beamwall_clock::simulation::simulate_suspension(STEP);
         }
         let held = held.unwrap_or_else(|| panic!("life {life} held nothing"));
         assert!(held > epoch, "a new epoch in each life");
@@ -158,7 +158,7 @@
     let mut waited = Duration::ZERO;
     while state.borrow().held_epoch().is_none() {
         assert!(waited < TAKEOVER_WAIT * 3, "it is never taken");
-        beamwall_clock::simulation::suspend_for(STEP);
+        beamwall_clock::simulation::simulate_suspension(STEP);
         waited += STEP;
         lease.step().await.expect("platform answers");
     }
