--- a/crates/beamwall-clock/src/lib.rs
+++ b/crates/beamwall-clock/src/lib.rs
@@ -1,9 +1,10 @@
-//! Time that goes on while the machine is suspended, and time that stands still with this process.
+//! Clocks that include machine suspension or exclude stalls of this process.
 //!
-//! The steady clock of the system stands still while a machine is suspended: a lease of three seconds, measured by it, is still held
-//! after a minute. So what holds by a term is measured in [`BootInstant`]s, which count the time asleep, too. The runtime's timers stay
-//! on the steady clock: who wakes looks at the moment again before it acts, as the [`timers`] here do. What counts against others, as
-//! their silence, is measured by the clock of [`process_clock`].
+//! The monotonic clock stops while the machine is suspended: measured by it, a three-second lease still looks
+//! valid after a minute of suspension. Leases and other time limits are therefore measured in
+//! [`BootInstant`]s, which include suspension. Tokio's timers use the monotonic clock, so a task that a timer
+//! wakes must read [`BootInstant::now`] again before it acts, as [`timers`] does. Evidence against other
+//! nodes, such as their silence, is measured by [`process_clock`], which excludes stalls of this process.
 
 pub mod process_clock;
 #[cfg(feature = "simulation")]
@@ -19,22 +20,23 @@
 
 pub use throttle::Throttle;
 
-/// A moment by a clock that counts the time asleep. Moments are compared with each other only, never with times of timers.
+/// An instant on a clock that includes machine suspension. Comparable only with other boot instants, never
+/// with deadlines of timers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Instant);
 
 impl BootInstant {
-    /// Now.
+    /// Returns the current time.
     pub fn now() -> Self {
         Self(now())
     }
 
-    /// Time from an earlier moment to this one; none where that is later.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     pub fn duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_duration_since(earlier.0)
     }
 
-    /// Time since then.
+    /// Returns the time from this instant to now, or zero if this instant is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().duration_since(self)
     }
@@ -48,15 +50,17 @@
     }
 }
 
-/// Now as an instant that counts the time asleep, for aggregates that are told what time it is. It is never used for a timer, which
-/// would fire late by all the time asleep since the machine started.
+/// Returns the current time including machine suspension, for types that take the current time as a
+/// parameter. It must not be used as the deadline of a timer, which would fire late by the total suspended
+/// time since boot.
 pub fn now() -> Instant {
     Instant::now() + suspended_time()
 }
 
-/// Time for which the machine has been suspended since it started.
+/// Returns the total time for which the machine has been suspended since boot.
 pub fn suspended_time() -> Duration {
-    // In this order a pause between the two readings makes terms seem older, not younger.
+    // The monotonic clock is read first: a pause between the two readings then makes leases look older, not
+    // younger.
     let monotonic = read_clock(ClockId::Monotonic);
     let suspended = read_clock(ClockId::Boottime).saturating_sub(monotonic);
     #[cfg(feature = "simulation")]
@@ -65,7 +69,8 @@
     suspended
 }
 
-/// Reads a clock through the C library, as the standard library reads the steady one, so that all come from one source.
+/// Reads a clock through the C library, as the standard library does for its monotonic clock, so that all
+/// readings come from the same source.
 fn read_clock(clock: ClockId) -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(clock);
     Duration::new(u64::try_from(tv_sec).unwrap_or(0), u32::try_from(tv_nsec).unwrap_or(0))
--- a/crates/beamwall-clock/src/process_clock.rs
+++ b/crates/beamwall-clock/src/process_clock.rs
@@ -1,20 +1,22 @@
-//! Time during which this process ran.
+//! A clock that excludes the time during which this process was stalled.
 //!
-//! A process that was stopped, or got no processor, finds when it goes on that its own timers have run out while what others sent lies
-//! unread. Measured by the steady clock the others were silent. So evidence against others is measured by a clock that counts
-//! only while this process runs; what must not outlast a term is measured in [`BootInstant`](crate::BootInstant)s, which count all time.
+//! A process that was stopped or got no CPU time resumes with its own timers expired while messages from
+//! peers are still unread. By the monotonic clock, the peers were silent. Evidence against peers is therefore
+//! measured by this clock, which advances only while the process runs. Leases and other limits that must not
+//! be exceeded are measured in [`BootInstant`](crate::BootInstant)s, which include all time.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time between two looks of the watch: each wakes the process.
+/// Interval at which a monitor records that the process runs; each poll wakes the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two looks up to which the process is taken to have run: timers are a little late also where nothing is wrong.
+/// Longest time between two polls that does not count as a stall: timers fire slightly late in normal
+/// operation, too.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// What the watches of this process have seen.
+/// Stalls recorded by the monitors of this process.
 #[derive(Debug)]
 struct StallState {
     monitors: usize,
@@ -30,7 +32,7 @@
 }
 
 impl StallState {
-    /// Time since the last look in which the process did not run.
+    /// Returns the part of the time since the last poll that counts as a stall.
     fn current_stall(&self) -> Duration {
         let since_poll = self.last_poll.map_or(Duration::ZERO, |poll| poll.elapsed());
         since_poll.saturating_sub(STALL_THRESHOLD)
@@ -42,7 +44,7 @@
     }
 }
 
-/// Counts one watch until it is dropped. Without any, all time counts as time in which the process ran.
+/// Registers a monitor until dropped. While no monitor is registered, no stalls are recorded.
 struct MonitorGuard;
 
 impl MonitorGuard {
@@ -65,7 +67,8 @@
     }
 }
 
-/// Watches until the task is ended how late this process's timers are; `report` is told after each look by how much.
+/// Records at a fixed interval that the process runs, until the task is aborted, and passes the delay of each
+/// timer to `report`.
 pub async fn monitor(mut report: impl FnMut(Duration)) {
     let _guard = MonitorGuard::new();
     loop {
@@ -76,7 +79,7 @@
     }
 }
 
-/// Time for which this process has stood still since it started, as far as a watch could tell.
+/// Returns the total time for which this process was stalled while a monitor was running.
 pub fn stall_time() -> Duration {
     let state = lock();
     let total_stall = state.total_stall + state.current_stall();
@@ -86,13 +89,14 @@
     total_stall
 }
 
-/// Now by the clock that counts only while this process runs. Compared only with other times of this clock, never used for a timer.
+/// Returns the current time on this clock. Comparable only with other readings of this clock; must not be
+/// used as the deadline of a timer.
 pub fn now() -> Instant {
     let now = Instant::now();
     now.checked_sub(stall_time()).unwrap_or(now)
 }
 
-/// Waits for a while in which this process runs.
+/// Sleeps until this process has run for `duration`.
 pub async fn sleep(duration: Duration) {
     let deadline = now() + duration;
     loop {
--- a/crates/beamwall-clock/src/simulation.rs
+++ b/crates/beamwall-clock/src/simulation.rs
@@ -1,5 +1,7 @@
-//! Suspensions and standstills on request. Of a suspension the steady clock of this thread's tests knows nothing, and the clock that
-//! counts the time asleep jumps. After a standstill the clock that counts while the process runs is behind by it.
+//! Simulated machine suspensions and process stalls for tests, kept per thread.
+//!
+//! A simulated suspension advances the clock that includes suspension and leaves the monotonic clock
+//! unchanged. A simulated stall sets the process clock back by its duration.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,22 +11,23 @@
     static STALLED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// Lets the process of this thread's tests have stood still for a while, just now, while the steady clock went on.
+/// Simulates that the process was stalled for `duration` until now. Advancing the monotonic clock by the same
+/// time is up to the test.
 pub fn simulate_stall(duration: Duration) {
     STALLED.set(STALLED.get() + duration);
 }
 
-/// Time for which it has done so.
+/// Returns the total of the stalls simulated on this thread.
 pub(crate) fn simulated_stall() -> Duration {
     STALLED.get()
 }
 
-/// Lets this thread's machine have been suspended for a while, just now.
+/// Simulates that the machine was suspended for `duration` until now.
 pub fn simulate_suspension(duration: Duration) {
     SUSPENDED.set(SUSPENDED.get() + duration);
 }
 
-/// Time for which it has been so far.
+/// Returns the total of the suspensions simulated on this thread.
 pub(crate) fn simulated_suspension() -> Duration {
     SUSPENDED.get()
 }
--- a/crates/beamwall-clock/src/timers.rs
+++ b/crates/beamwall-clock/src/timers.rs
@@ -1,15 +1,16 @@
-//! Timers that go on while the machine is suspended, within a look.
+//! Timers that include machine suspension, to within one poll interval.
 
 use std::future::Future;
 use std::time::Duration;
 
 use crate::BootInstant;
 
-/// Time between two looks at the clock: a timer that ends while the machine sleeps ends this long after it wakes at most. Short
-/// enough for callers that wait, long enough to cost nothing beside what an open request costs.
+/// Interval at which a timer reads the clock. A timer that expires while the machine is suspended fires at
+/// most this long after the machine resumes. The delay is short for a waiting caller, and the cost of polling
+/// is negligible compared with that of an open request.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Waits for a while that counts the time asleep.
+/// Sleeps for `duration`, including time during which the machine is suspended.
 pub async fn sleep(duration: Duration) {
     let deadline = BootInstant::now() + duration;
     loop {
@@ -21,7 +22,8 @@
     }
 }
 
-/// The output of a future; `None` where it does not come within a while that counts the time asleep.
+/// Returns the output of `future`, or `None` if it does not complete within `duration`, which includes time
+/// during which the machine is suspended.
 pub async fn timeout<F: Future>(duration: Duration, future: F) -> Option<F::Output> {
     tokio::select! {
         biased;
--- a/crates/beamwall-clock/tests/process_clock.rs
+++ b/crates/beamwall-clock/tests/process_clock.rs
@@ -1,4 +1,4 @@
-//! The clock that counts only while the process runs.
+//! The clock that excludes stalls of this process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,8 @@
     assert!(started.elapsed() < TIMEOUT + Duration::from_millis(50), "{:?}", started.elapsed());
 }
 
-/// Guards against: what others sent during a standstill has no time to be read before they are taken for silent.
+/// Guards against treating peers as silent after a stall of this process, before the messages that they sent
+/// meanwhile have been read.
 #[tokio::test(start_paused = true)]
 async fn a_stall_does_not_count_toward_a_timeout() {
     let mut wait = std::pin::pin!(process_clock::sleep(TIMEOUT));
@@ -27,11 +28,12 @@
     simulation::simulate_stall(STALL);
     assert!(process_clock::now().duration_since(start) < Duration::from_millis(50));
     let early = tokio::time::timeout(TIMEOUT / 2, &mut wait).await;
-    assert!(early.is_err(), "half of the time has not passed");
-    tokio::time::timeout(TIMEOUT, wait).await.expect("it ends");
+    assert!(early.is_err(), "the sleep ended before its duration had elapsed without the stall");
+    tokio::time::timeout(TIMEOUT, wait).await.expect("the sleep ends once its duration has elapsed");
 }
 
-/// Guards against: a standstill counts only once the watch has looked again, which may be after others have acted on it.
+/// Guards against a stall that is only counted at the monitor's next poll: other timers may fire before that
+/// poll and act on the stalled time.
 #[tokio::test]
 async fn stall_time_includes_a_stall_that_has_not_been_polled_yet() {
     let max_delay_ms = Arc::new(AtomicU64::new(0));
--- a/crates/beamwall-clock/tests/throttle.rs
+++ b/crates/beamwall-clock/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Something happens at most once in a while.
+//! Events are admitted at most once per period.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     assert!(throttle.admit(PERIOD));
     assert!(!throttle.admit(PERIOD));
     tokio::time::advance(PERIOD / 2).await;
-    assert!(!throttle.admit(PERIOD), "being asked does not count");
+    assert!(!throttle.admit(PERIOD), "a rejected call must not extend the period");
     tokio::time::advance(PERIOD / 2).await;
     assert!(throttle.admit(PERIOD));
     assert!(!throttle.admit(PERIOD));
--- a/crates/beamwall-clock/tests/timers.rs
+++ b/crates/beamwall-clock/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timers on a machine that was suspended.
+//! Timers on a machine that is suspended.
 
 use std::time::Duration;
 
