--- a/crates/beamwall-peer/src/frame.rs
+++ b/crates/beamwall-peer/src/frame.rs
@@ -1,13 +1,13 @@
-//! Messages on a connection: each is preceded by its length.
+//! Framing of messages on a connection: each is prefixed with its length.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Largest message in bytes: a whole settings tree.
+/// Maximum size of a message in bytes, large enough for a complete settings tree.
 const MAX_MESSAGE_BYTES: u32 = 64 << 20;
 
-/// Writes one message.
+/// Writes one message with its length prefix.
 pub async fn write_message(stream: &mut (impl AsyncWrite + Unpin), message: &[u8]) -> io::Result<()> {
     let length = u32::try_from(message.len()).map_err(|_| message_too_long(message.len()))?;
     let mut framed = Vec::with_capacity(size_of::<u32>() + message.len());
@@ -16,13 +16,13 @@
     stream.write_all(&framed).await
 }
 
-/// Reads one message; the end of the connection is an error.
+/// Reads one message. The end of the connection is an error.
 pub async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
     if length > MAX_MESSAGE_BYTES {
         return Err(message_too_long(length as usize));
     }
-    // What is announced is not trusted: memory is taken as bytes come.
+    // The length prefix is not trusted: memory is allocated only as bytes arrive.
     let mut message = Vec::new();
     let read = stream.take(u64::from(length)).read_to_end(&mut message).await?;
     if read < length as usize {
@@ -32,5 +32,5 @@
 }
 
 fn message_too_long(bytes: usize) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("a message of {bytes} bytes"))
+    io::Error::new(io::ErrorKind::InvalidData, format!("message of {bytes} bytes exceeds the size limit"))
 }
--- a/crates/beamwall-peer/src/gateway_message.rs
+++ b/crates/beamwall-peer/src/gateway_message.rs
@@ -1,103 +1,105 @@
 //! Messages between gateways.
 //!
-//! Heartbeats and news tell versions, not contents: whoever lacks a newer policy or list of back ends asks for
-//! it, and is told what changed, or all where that is not known any more: of a policy as compressed JSON of the product's own
-//! types, of the list of back ends as messages.
+//! Heartbeats and version updates contain versions only. A gateway that lacks a newer policy or list of back
+//! ends requests it and receives the changes, or the complete state if the changes are no longer known: for a
+//! policy as compressed JSON of the project's own types, for the list of back ends as messages.
 
 use prost::Message;
 
 use crate::message::MemberUpdate;
 use crate::rollout_message::RolloutUpdate;
 
-/// Periodic sign of life of a gateway with what the others need to know of it.
+/// Periodic heartbeat of a gateway with its state.
 #[derive(Clone, PartialEq, Message)]
 pub struct GatewayHeartbeat {
-    /// What the sender knows of other nodes.
+    /// Other nodes in the view of the sender.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<MemberUpdate>,
-    /// Whether the receiver shall answer at once.
+    /// Whether the receiver is to reply immediately.
     #[prost(bool, tag = "2")]
     pub wants_answer: bool,
-    /// Version of the policy in force; 0 for none.
+    /// Version of the policy in force; 0 if none.
     #[prost(uint64, tag = "3")]
     pub policy_version: u64,
-    /// Revision of the list of back ends; 0 for none.
+    /// Revision of the list of back ends; 0 if none.
     #[prost(uint64, tag = "4")]
     pub directory_revision: u64,
     /// Digest of the list of back ends.
     #[prost(fixed64, tag = "5")]
     pub directory_digest: u64,
-    /// Work of tenants that the sender let pass in this life.
+    /// Work of tenants that the sender admitted in its current generation.
     #[prost(message, repeated, tag = "6")]
     pub quota_uses: Vec<QuotaUse>,
     /// Open work at back ends.
     #[prost(message, repeated, tag = "7")]
     pub loads: Vec<BackendLoad>,
-    /// Number of the sender's life, under which it counts usage.
+    /// Generation of the sender, under which it counts usage.
     #[prost(fixed64, tag = "8")]
     pub life: u64,
-    /// Usage counted in this life.
+    /// Usage counted in the current generation.
     #[prost(message, repeated, tag = "9")]
     pub usage: Vec<UsageWindow>,
-    /// Work that callers ask for at the sender.
+    /// Demand of callers at the sender.
     #[prost(message, repeated, tag = "10")]
     pub demands: Vec<ServiceDemand>,
-    /// What the sender observed of services' back ends; left out of most heartbeats.
+    /// Statistics of each service's back ends observed by the sender; left out of most heartbeats.
     #[prost(message, repeated, tag = "11")]
     pub models: Vec<ServiceModel>,
-    /// What the sender observed lately of single back ends.
+    /// Recent slowness of individual back ends observed by the sender.
     #[prost(message, repeated, tag = "12")]
     pub slowness: Vec<BackendSlowness>,
-    /// Members that the sender knows; 0 where it does not say.
+    /// Number of members that the sender knows; 0 if not reported.
     #[prost(uint32, tag = "13")]
     pub members_known: u32,
-    /// Rollouts as the sender knows them.
+    /// Rollouts in the view of the sender.
     #[prost(message, optional, tag = "14")]
     pub rollouts: Option<RolloutUpdate>,
-    /// Time of day by the sender's own clock, in milliseconds since 1970.
+    /// Time of day by the sender's clock, in milliseconds since 1970.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
-    /// Digest of what the sender knows of requests under which back ends end; 0 for nothing.
+    /// Digest of the sender's evidence about requests during which back ends terminated; 0 if it has none.
     #[prost(fixed64, tag = "16")]
     pub quarantine_digest: u64,
 }
 
-/// What the sender holds, told at once when it is newer than before. With names of usual length it
-/// takes 84 bytes; a heartbeat tells the same among much else, too much for each change of a back end.
+/// Versions that the sender holds, sent immediately when they are newer than before. With names of usual
+/// length, the message takes 84 bytes. A heartbeat contains the same versions, but is too large to be sent on
+/// each change of a back end.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct VersionUpdate {
-    /// Version of the policy in force; 0 for none.
+    /// Version of the policy in force; 0 if none.
     #[prost(uint64, tag = "1")]
     pub policy_version: u64,
-    /// Revision of the list of back ends; 0 for none.
+    /// Revision of the list of back ends; 0 if none.
     #[prost(uint64, tag = "2")]
     pub directory_revision: u64,
     /// Digest of the list of back ends.
     #[prost(fixed64, tag = "3")]
     pub directory_digest: u64,
-    /// Number of the sender's life, as in heartbeats: the first word of a node that starts is often this one; 0 where it is not told.
+    /// Generation of the sender, as in heartbeats; 0 if not reported. It is included because this message is
+    /// often the first that a starting node sends.
     #[prost(uint64, tag = "4")]
     pub life: u64,
 }
 
-/// Sums over what the sender observed of a service's back ends.
+/// Sums of the observations of a service's back ends by the sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceModel {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The sums in the order of the engine model's list of numbers.
+    /// The sums, in the order of the engine model's list of numbers.
     #[prost(float, repeated, tag = "2")]
     pub sums: Vec<f32>,
 }
 
-/// How much longer than expected one back end took.
+/// Slowness of one back end relative to the expected times.
 #[derive(Clone, PartialEq, Message)]
 pub struct BackendSlowness {
     /// Back end.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// Sum of the logarithms of the factors by which requests took longer, each times its weight.
+    /// Weighted sum of the logarithms of the factors by which requests took longer than expected.
     #[prost(float, tag = "2")]
     pub logarithms: f32,
     /// Sum of the weights.
@@ -105,75 +107,75 @@
     pub weight: f32,
 }
 
-/// What the gateways of one zone do, summed by one of its relays for the other zones. The relay that
-/// gets it passes it on, unchanged, to the gateways of its own zone.
+/// Summary of the gateways of one zone, computed by one of its relays for the other zones. The relay that
+/// receives it forwards it unchanged to the gateways of its own zone.
 #[derive(Clone, PartialEq, Message)]
 pub struct ZoneSummary {
-    /// The zone.
+    /// Zone that is summarized.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// The relay that summed.
+    /// Relay that computed the summary.
     #[prost(string, tag = "2")]
     pub relay: String,
-    /// Number of the relay's life, during which it summed quota uses.
+    /// Generation of the relay, during which it summed the quota uses.
     #[prost(fixed64, tag = "3")]
     pub life: u64,
-    /// Gateways of the zone that the relay hears, itself included.
+    /// Number of gateways of the zone from which the relay receives heartbeats, itself included.
     #[prost(uint32, tag = "4")]
     pub nodes_heard: u32,
-    /// Work of tenants that they let pass during the relay's life.
+    /// Work of tenants admitted by these gateways during the relay's generation.
     #[prost(message, repeated, tag = "5")]
     pub quota_uses: Vec<QuotaUse>,
-    /// Their open work at back ends.
+    /// Open work of these gateways at back ends.
     #[prost(message, repeated, tag = "6")]
     pub loads: Vec<BackendLoad>,
-    /// Usage that they counted.
+    /// Usage counted by these gateways.
     #[prost(message, repeated, tag = "7")]
     pub usage: Vec<UsageWindow>,
-    /// Work that callers ask for at them.
+    /// Demand of callers at these gateways.
     #[prost(message, repeated, tag = "8")]
     pub demands: Vec<ServiceDemand>,
-    /// What they observed of services' back ends; left out of most sums.
+    /// Statistics of each service's back ends observed by these gateways; left out of most summaries.
     #[prost(message, repeated, tag = "9")]
     pub models: Vec<ServiceModel>,
-    /// What they observed lately of single back ends.
+    /// Recent slowness of individual back ends observed by these gateways.
     #[prost(message, repeated, tag = "10")]
     pub slowness: Vec<BackendSlowness>,
-    /// Rollouts as they know them.
+    /// Rollouts in the view of these gateways.
     #[prost(message, optional, tag = "11")]
     pub rollouts: Option<RolloutUpdate>,
-    /// Digest of what the relay knows of requests under which back ends end; 0 for nothing.
+    /// Digest of the relay's evidence about requests during which back ends terminated; 0 if it has none.
     #[prost(fixed64, tag = "12")]
     pub quarantine_digest: u64,
 }
 
-/// Work that callers ask for at the sender.
+/// Demand of callers for one service at the sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceDemand {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Requests a second.
+    /// Requests per second.
     #[prost(float, tag = "3")]
     pub requests: f32,
-    /// Prompt tokens a second that must be read.
+    /// Prompt tokens per second that need prefill.
     #[prost(float, tag = "4")]
     pub tokens: f32,
-    /// Pairs of such a token with one before it, a second.
+    /// Pairs of such a token with an earlier token, per second.
     #[prost(float, tag = "5")]
     pub pairs: f32,
-    /// Events a second that are streamed.
+    /// Streamed events per second.
     #[prost(float, tag = "6")]
     pub events: f32,
 }
 
-/// Work of a tenant that the sender let pass.
+/// Work of a tenant admitted by the sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaUse {
     /// Tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Work since the sender's start.
+    /// Work admitted since the sender's start.
     #[prost(double, tag = "2")]
     pub passed: f64,
 }
@@ -187,7 +189,7 @@
     /// Open requests.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
-    /// Prompt tokens of those that have not begun to answer.
+    /// Prompt tokens of the open requests whose response has not started.
     #[prost(uint64, tag = "3")]
     pub prompt_tokens: u64,
 }
@@ -209,41 +211,41 @@
     /// Tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Requests that began to run.
+    /// Requests whose execution started.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
 }
 
-/// Asks for the usage that the receiver knows.
+/// Requests the usage known to the receiver.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct UsageRequest {}
 
-/// Usage by life of a gateway, also of lives that have ended.
+/// Usage by generation of gateways, ended generations included.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageAnswer {
-    /// The lives.
+    /// Usage of each generation.
     #[prost(message, repeated, tag = "1")]
     pub lives: Vec<GenerationUsage>,
 }
 
-/// Usage that one life of a gateway counted.
+/// Usage counted by one generation of a gateway.
 #[derive(Clone, PartialEq, Message)]
 pub struct GenerationUsage {
     /// Name of the gateway.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Number of the life.
+    /// Generation of the gateway.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
-    /// What it counted.
+    /// Usage counted in this generation.
     #[prost(message, repeated, tag = "3")]
     pub usage: Vec<UsageWindow>,
 }
 
-/// Asks what changed in the policy since the version that the sender holds.
+/// Requests the policy changes since the version that the sender holds.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PolicyRequest {
-    /// Version that the sender holds; 0 for none.
+    /// Version that the sender holds; 0 if none.
     #[prost(uint64, tag = "1")]
     pub held_version: u64,
     /// Digest of that version.
@@ -251,123 +253,127 @@
     pub held_digest: u64,
 }
 
-/// What changed since the version that the asker holds, or when to ask again.
+/// The changes since the version held by the requester, or the time after which to retry.
 #[derive(Clone, PartialEq, Message)]
 pub struct PolicyAnswer {
-    /// The change as compressed JSON; empty while none can be told.
+    /// The changes as compressed JSON; empty if none can be sent now.
     #[prost(bytes = "vec", tag = "2")]
     pub change: Vec<u8>,
-    /// While other large answers take the sender's link: milliseconds until it may be asked again.
+    /// If other large responses occupy the link of the node that replies: milliseconds after which to retry.
     #[prost(uint32, tag = "3")]
     pub busy_for_ms: u32,
 }
 
-/// Asks what changed in the list of back ends since the revision that the sender holds.
+/// Requests the changes of the list of back ends since the revision that the sender holds.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct DirectoryRequest {
-    /// Revision that the sender holds; 0 for none.
+    /// Revision that the sender holds; 0 if none.
     #[prost(uint64, tag = "1")]
     pub held_revision: u64,
-    /// Whether the sender reads lists with names sent once. Builds that tell lists as JSON only don't say so.
+    /// Whether the sender can decode lists whose names are sent once. Builds that only know lists as JSON do
+    /// not set this field.
     #[prost(bool, tag = "2")]
     pub reads_names: bool,
 }
 
-/// What changed in the list of back ends, the whole list, or when to ask again.
+/// The changes of the list of back ends, the complete list, or the time after which to retry.
 #[derive(Clone, PartialEq, Message)]
 pub struct DirectoryAnswer {
-    /// The list's revision; 0 for none.
+    /// Revision of the list; 0 if none.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The whole list as compressed JSON, for builds that read no other form; empty for all others.
+    /// The complete list as compressed JSON for builds that cannot decode another form; empty for all others.
     #[prost(bytes = "vec", tag = "3")]
     pub compressed_json: Vec<u8>,
-    /// While other answers take the sender's link: milliseconds until it may be asked again.
+    /// If other responses occupy the link of the node that replies: milliseconds after which to retry.
     #[prost(uint32, tag = "4")]
     pub busy_for_ms: u32,
-    /// Whether these are changes that follow the revision held by the asker; otherwise the whole list.
+    /// Whether the message contains changes since the revision held by the requester; otherwise, it contains
+    /// the complete list.
     #[prost(bool, tag = "5")]
     pub is_change: bool,
-    /// Names of services, zones and versions, to which the back ends refer by position.
+    /// Names of services, zones and versions, to which the back ends refer by index.
     #[prost(string, repeated, tag = "6")]
     pub names: Vec<String>,
-    /// Back ends that came or changed, or all.
+    /// Added and changed back ends, or all back ends.
     #[prost(message, repeated, tag = "7")]
     pub listed: Vec<ListedBackend>,
-    /// Back ends that are gone.
+    /// Removed back ends.
     #[prost(string, repeated, tag = "8")]
     pub gone: Vec<String>,
 }
 
-/// A back end in a list: some 40 bytes.
+/// A back end in a list, about 40 bytes when encoded.
 #[derive(Clone, PartialEq, Message)]
 pub struct ListedBackend {
-    /// The name by which it is listed.
+    /// Instance name under which the back end is listed.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Position of its service's name.
+    /// Index of the service's name.
     #[prost(uint32, tag = "2")]
     pub service: u32,
-    /// Position of its zone's name.
+    /// Index of the zone's name.
     #[prost(uint32, tag = "3")]
     pub zone: u32,
-    /// Where it listens.
+    /// Address at which the back end listens.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the back end processes concurrently.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the back end is leaving.
     #[prost(bool, tag = "6")]
     pub draining: bool,
-    /// Whether it may be taken away at short notice.
+    /// Whether the back end may be reclaimed at short notice.
     #[prost(bool, tag = "7")]
     pub reclaimable: bool,
-    /// When this life of it began, in milliseconds since 1970, where it tells that.
+    /// Start of the back end's current generation in milliseconds since 1970, if it reports that.
     #[prost(uint64, optional, tag = "8")]
     pub born_ms: Option<u64>,
-    /// Position of its version's name.
+    /// Index of the version's name.
     #[prost(uint32, tag = "9")]
     pub version: u32,
 }
 
-/// Asks the receiver, which places model requests for all gateways, for an engine.
+/// Requests an engine from the receiver, which places model requests for all gateways.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacementRequest {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the complete prompt.
     #[prost(uint32, tag = "2")]
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     #[prost(uint32, tag = "3")]
     pub output_tokens: u32,
-    /// The prompt's parts in order.
+    /// Parts of the prompt in order.
     #[prost(message, repeated, tag = "4")]
     pub parts: Vec<PlacementPart>,
-    /// Engines that it was sent to before.
+    /// Engines to which the request was sent before.
     #[prost(string, repeated, tag = "5")]
     pub tried: Vec<String>,
-    /// Engines that the sender could not reach a moment ago.
+    /// Engines that the sender recently failed to reach.
     #[prost(string, repeated, tag = "6")]
     pub unreachable: Vec<String>,
-    /// Longest pause between two events that keeps the stream in time, in milliseconds.
+    /// Longest interval between two events of the stream that meets its objective, in milliseconds.
     #[prost(uint64, optional, tag = "7")]
     pub pause_objective_ms: Option<u64>,
-    /// Time that the caller still waits, in milliseconds.
+    /// Time until the caller's timeout, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub remaining_ms: u64,
-    /// Number of the group of engines among which one is chosen.
+    /// Number of the group of engines from which one is chosen.
     #[prost(uint32, tag = "9")]
     pub group: u32,
-    /// Number of groups; 0 and 1 for all engines.
+    /// Number of groups; 0 and 1 stand for a single group of all engines.
     #[prost(uint32, tag = "10")]
     pub groups: u32,
-    /// Expected time to begin, in milliseconds, beyond which the sender asks another group.
+    /// Expected time until the response starts, in milliseconds, above which the sender queries another
+    /// group.
     #[prost(double, optional, tag = "11")]
     pub enough_ms: Option<f64>,
-    /// What the sender observed lately of single engines of the group, and has not reported yet.
+    /// Slowness of individual engines of the group that the sender observed recently and has not reported
+    /// yet.
     #[prost(message, repeated, tag = "12")]
     pub observed: Vec<BackendSlowness>,
 }
@@ -375,45 +381,46 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PlacementPart {
-    /// Identifies the part's text together with all parts before it.
+    /// Identifies the text of this part together with all parts before it.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
 }
 
-/// The engine chosen for a request, with what decided.
+/// The engine chosen for a request, and the values that led to the choice.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacementReply {
-    /// The engine; empty when none was found.
+    /// Chosen engine; empty if none was found.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// Cost by which it was chosen, in milliseconds.
+    /// Cost of the chosen engine in milliseconds, by which engines are compared.
     #[prost(double, tag = "2")]
     pub cost_ms: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that need prefill there.
     #[prost(uint64, tag = "3")]
     pub unread_tokens: u64,
-    /// Requests open there.
+    /// Open requests at the engine.
     #[prost(uint32, tag = "4")]
     pub open_requests: u32,
-    /// Share of its requests that failed lately, 0 to 1.
+    /// Share of the engine's recent requests that failed, 0 to 1.
     #[prost(double, tag = "5")]
     pub failure_share: f64,
-    /// Engines that were compared.
+    /// Number of engines that were compared.
     #[prost(uint32, tag = "6")]
     pub candidates: u32,
-    /// Pairs of an unread token with one before it.
+    /// Pairs of a token that needs prefill with an earlier token.
     #[prost(uint64, tag = "7")]
     pub unread_pairs: u64,
-    /// Tokens of other prompts that are read before.
+    /// Tokens of other prompts ahead in the prefill queue.
     #[prost(uint64, tag = "8")]
     pub tokens_ahead: u64,
-    /// Expected time until it begins to answer, in milliseconds, where it is known.
+    /// Expected time until the response starts, in milliseconds, if known.
     #[prost(double, optional, tag = "9")]
     pub expected_ms: Option<f64>,
-    /// Factor by which the engine takes longer than its service usually does, which is in the expected time; 0 where it is not told.
+    /// Factor by which the engine is slower than usual for its service, already included in the expected
+    /// time; 0 if not reported.
     #[prost(double, tag = "10")]
     pub slowness: f64,
 }
--- a/crates/beamwall-peer/src/lib.rs
+++ b/crates/beamwall-peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages, sessions and membership between the nodes.
+//! Messages, sessions and membership between nodes.
 //!
-//! Nodes exchange tagged-field messages over TCP, one connection and task for each peer that is sent to.
-//! [`Membership`] decides from them who is alive; it never uses the platform's machine list as
-//! proof of life or death.
+//! Nodes exchange messages with tagged fields (Protocol Buffers) over TCP, with one connection and task for
+//! each recipient. [`Membership`] derives from them which nodes are alive. It never takes the platform's
+//! machine list as evidence that a node is alive or dead.
 
 pub mod compressed;
 mod frame;
--- a/crates/beamwall-peer/src/member.rs
+++ b/crates/beamwall-peer/src/member.rs
@@ -1,30 +1,30 @@
-//! One node as seen by another.
+//! One node's view of another node.
 
 use std::net::SocketAddr;
 
 use beamwall_model::{NodeId, ZoneName};
 use tokio::time::Instant;
 
-/// Whether a node is believed to run.
+/// State of a node in the view of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Heard of lately.
+    /// Seen recently, directly or in a report of another node.
     Alive,
-    /// Silent for a while.
+    /// Has not answered probes for some time.
     Suspect,
-    /// Silent for longer, also to indirect probes.
+    /// Remained suspect and answered no indirect probes either.
     Dead,
-    /// Said that it stops.
+    /// Announced that it stops.
     Left,
 }
 
 impl MemberState {
-    /// The number used in messages.
+    /// Returns the number that represents this state in messages.
     pub fn number(self) -> u32 {
         self as u32
     }
 
-    /// Reads the number used in messages; unknown numbers count as alive.
+    /// Returns the state that a number in a message represents; unknown numbers are read as alive.
     pub fn from_number(number: u32) -> Self {
         match number {
             1 => Self::Suspect,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The word used in status pages.
+    /// Returns the name of this state on status pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -45,7 +45,7 @@
     }
 }
 
-/// One node as seen by another.
+/// A node in the view of another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// Name.
@@ -56,40 +56,41 @@
     pub address: SocketAddr,
     /// Incarnation: rises at each start and each refuted suspicion.
     pub incarnation: u64,
-    /// Whether it is believed to run.
+    /// State of the node.
     pub state: MemberState,
     /// When the state was entered.
     pub since: Instant,
-    /// When it was last heard directly; `None` when only others spoke of it.
+    /// When a message last arrived directly from the node; `None` if it is only known through other nodes.
     pub last_received: Option<Instant>,
-    /// Settings revision in force there.
+    /// Settings revision in force on the node.
     pub revision: u64,
-    /// Digest of its resolved settings.
+    /// Digest of the node's resolved settings.
     pub digest: u64,
-    /// Whether it serves callers.
+    /// Whether the node serves callers.
     pub ready: bool,
-    /// Whether it is draining.
+    /// Whether the node is draining.
     pub draining: bool,
-    /// Capacity of its network link in Mbit/s; 0 where it is not known.
+    /// Capacity of the node's network link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// The weight by which a node is chosen for what passes over its link on behalf of others: the fourth power of its
-/// capacity. With a link of a twentieth, each of many slow nodes beside two fast ones is chosen once in 100,000 times (by the
-/// square once in 270), while links that differ by a tenth still share the work.
+/// Returns the weight with which a node is selected to carry traffic for others over its link: the fourth
+/// power of the link's capacity. Beside two fast nodes, each of many slow nodes whose links have a twentieth
+/// of the capacity is selected once in 100,000 times (with the square: once in 270), while nodes whose links
+/// differ by a tenth still share the work.
 pub fn link_weight(link_mbps: u32) -> f64 {
     f64::from(link_mbps).powi(4)
 }
 
 impl Member {
-    /// Takes the capacity of its link, where others told one.
+    /// Updates the capacity of the node's link, unless the reported one is unknown.
     pub(crate) fn update_link(&mut self, link_mbps: u32) {
         if link_mbps > 0 {
             self.link_mbps = link_mbps;
         }
     }
 
-    /// Whether work may be given to it.
+    /// Returns whether the node may be given work.
     pub fn is_usable(&self) -> bool {
         self.state == MemberState::Alive && self.ready && !self.draining
     }
--- a/crates/beamwall-peer/src/membership.rs
+++ b/crates/beamwall-peer/src/membership.rs
@@ -1,10 +1,12 @@
-//! The `Membership` aggregate: who is alive, whom to send heartbeats to, and what to tell of others.
+//! The `Membership` aggregate: the state of each known node, the targets of heartbeats, and the member
+//! updates to send.
 //!
-//! Within a zone every node sends to every other up to [`FULL_MESH_LIMIT`] members; beyond that each
-//! probes a few in turn, which answer, and news travels piggybacked. Between zones only two relays a
-//! pair speak, chosen among the nodes on the fastest links. A node is suspected when a probe of it has
-//! stayed unanswered for a while, probed through others, and declared dead only after a further wait; a
-//! node that learns of its own suspicion refutes it with a higher incarnation.
+//! In a zone of up to [`FULL_MESH_LIMIT`] members, every node sends heartbeats to every other. In a larger
+//! zone, each node probes a few members in turn, which reply, and member updates are piggybacked on these
+//! messages. Between two zones, only the relays exchange heartbeats: two nodes of each zone, chosen among
+//! those on the fastest links. A node becomes suspect when a probe of it has been unanswered for some time.
+//! Other members then probe it, too, and it is declared dead only after a further delay. A node that learns
+//! that it is suspect refutes this with a higher incarnation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,39 +19,39 @@
 use crate::member::{Member, MemberState, link_weight};
 use crate::message::{Envelope, MemberUpdate};
 
-/// Zone size up to which every member hears every other directly.
+/// Zone size up to which every member sends heartbeats to every other.
 pub const FULL_MESH_LIMIT: usize = 16;
-/// Members of a larger zone that are newly probed in each period.
+/// Members of a larger zone to which a new probe is sent in each period.
 const PROBES_PER_PERIOD: usize = 2;
-/// Unanswered probes that are repeated in each period.
+/// Maximum number of unanswered probes repeated in each period.
 const REPEATED_PROBES_PER_PERIOD: usize = 16;
-/// Dead members tried in each period, so that the sides of a mended cut find each other again.
+/// Dead members probed in each period, so that the two sides of a healed partition reconnect.
 const DEAD_PROBES_PER_PERIOD: usize = 3;
-/// Members asked to probe a suspect.
+/// Number of members asked to probe a suspect.
 const INDIRECT_PROBERS: usize = 4;
-/// Periods between two full lists that a node sends to one other.
+/// Periods between two full member lists that a node sends, each to one other node.
 const SYNC_PERIODS: u64 = 60;
-/// Unchanged members told in one heartbeat in a large zone where it reaches a few nodes.
+/// Unchanged members included in each heartbeat in a large zone whose heartbeats reach only a few nodes.
 const REFRESHES_PER_HEARTBEAT: usize = 4;
-/// Relays of a zone that speak with the relays of other zones.
+/// Number of relays of each zone, which exchange messages with the relays of other zones.
 pub const RELAYS_PER_ZONE: usize = 2;
-/// Times a changed member is told to others.
+/// Number of heartbeat rounds that include a changed member.
 const TRANSMISSIONS_PER_UPDATE: u32 = 8;
-/// The same where each heartbeat reaches the whole zone.
+/// Like [`TRANSMISSIONS_PER_UPDATE`], where each heartbeat reaches the whole zone.
 const BROADCAST_TRANSMISSIONS_PER_UPDATE: u32 = 2;
-/// Members told in one heartbeat.
+/// Maximum number of member updates in one heartbeat.
 const UPDATES_PER_HEARTBEAT: usize = 24;
 
-/// The times of failure detection.
+/// Timing of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipTiming {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub period: Duration,
-    /// Silence after which a node is suspected.
+    /// Time for which a probed node may stay silent before it becomes suspect.
     pub suspect_after: Duration,
-    /// Suspicion after which a node is dead.
+    /// Time in the suspect state after which a node is declared dead.
     pub dead_after: Duration,
-    /// Time after which a dead node is forgotten.
+    /// Time after which a dead node is removed.
     pub remove_after: Duration,
 }
 
@@ -75,36 +77,38 @@
     pub state: MemberState,
 }
 
-/// All that one node knows of the others.
+/// One node's view of all other nodes.
 #[derive(Debug)]
 pub struct Membership {
     own: NodeId,
     zone: ZoneName,
     link_mbps: u32,
-    /// Whether heartbeats go to all nodes of the zone.
+    /// Whether heartbeats are sent to all nodes of the zone.
     broadcasts: bool,
     incarnation: u64,
     timing: MembershipTiming,
     members: BTreeMap<NodeId, Member>,
     pending_updates: BTreeMap<NodeId, u32>,
     refresh_cursor: usize,
-    /// Members probed and not heard since, with the time of the first such probe.
+    /// Members from which no message has arrived since they were probed, with the time of the first such
+    /// probe.
     unanswered_probes: BTreeMap<NodeId, Instant>,
     probe_cursor: usize,
     periods: u64,
 }
 
-/// Who gets a heartbeat.
+/// A recipient of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     /// Address.
     pub address: SocketAddr,
-    /// Whether it shall answer, because it does not send here by itself.
+    /// Whether the recipient is asked to reply, because it does not send heartbeats to this node on its own.
     pub wants_answer: bool,
 }
 
 impl Membership {
-    /// A node that knows nobody. `incarnation` must be larger than in any earlier life.
+    /// Creates the view of a node without known members. `incarnation` must be higher than that of any
+    /// earlier process of this node.
     pub fn new(own: NodeId, zone: ZoneName, incarnation: u64, timing: MembershipTiming) -> Self {
         Self {
             own,
@@ -122,37 +126,39 @@
         }
     }
 
-    /// The same node, on a network link of `link_mbps` Mbit/s.
+    /// Sets the capacity of this node's network link in Mbit/s.
     pub fn with_link(self, link_mbps: u32) -> Self {
         Self { link_mbps, ..self }
     }
 
-    /// The same node, whose heartbeats go to all nodes of its zone, so that it hears each of them by itself.
+    /// Sends heartbeats to all nodes of the zone. Since all nodes of the zone do so, each receives heartbeats
+    /// directly from all others.
     pub fn with_broadcast(self) -> Self {
         Self { broadcasts: true, ..self }
     }
 
-    /// Whether heartbeats go to all nodes of a zone so large that each need not tell all that it knows.
+    /// Returns whether heartbeats are broadcast in a zone so large that redundant member updates are left
+    /// out.
     fn broadcasts_to_large_zone(&self) -> bool {
         self.broadcasts && self.zone_size() > FULL_MESH_LIMIT
     }
 
-    /// This node's incarnation.
+    /// Returns this node's incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Everyone known, this node left out.
+    /// Returns all known members, without this node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// One member.
+    /// Returns the member of this name.
     pub fn member(&self, node: &NodeId) -> Option<&Member> {
         self.members.get(node)
     }
 
-    /// Notes that a message came directly from its sender.
+    /// Records a message received directly from its sender.
     pub fn record_message(&mut self, envelope: &Envelope, now: Instant) -> Option<MembershipChange> {
         let address: SocketAddr = envelope.address.parse().ok()?;
         let node = NodeId::new(&envelope.sender);
@@ -189,8 +195,9 @@
         is_new_incarnation.then(|| self.record_change(&node)).flatten()
     }
 
-    /// A suspected or dead node that still speaks under its old incarnation must learn what is said
-    /// of it and come back with a higher one, so that everyone takes it back.
+    /// Records a message of a sender that is suspect, dead or has left, without changing its state. The
+    /// sender has to learn of that state and return with a higher incarnation, so that all nodes accept it as
+    /// alive again.
     fn record_inactive_sender(&mut self, node: &NodeId, envelope: &Envelope, now: Instant) {
         if let Some(member) = self.members.get_mut(node) {
             member.last_received = Some(now);
@@ -198,8 +205,9 @@
         }
     }
 
-    /// What to answer to a sender at once: everything for one that was not known before, unless it says in a large zone that
-    /// it `knows` as many members itself, and what is said of it for one that is suspected or dead.
+    /// Returns the updates to send to `sender` immediately. A sender that was not known before gets all
+    /// members, unless it reports in a large zone with broadcast heartbeats that it knows at least as many
+    /// (`members_known`). A sender that is not alive in this node's view gets its own state.
     pub fn immediate_updates(
         &self,
         sender: &NodeId,
@@ -217,7 +225,7 @@
         }
     }
 
-    /// Takes what a peer tells of others.
+    /// Applies member updates received from a peer and returns the resulting changes.
     pub fn merge(&mut self, updates: &[MemberUpdate], now: Instant) -> Vec<MembershipChange> {
         updates.iter().filter_map(|update| self.merge_one(update, now)).collect()
     }
@@ -264,9 +272,11 @@
         Some(MembershipChange { node: node.clone(), zone: member.zone.clone(), state: member.state })
     }
 
-    /// Leaves out what others hear anyway. Of 100 nodes that all tell each other, each hears every new member itself and
-    /// would be told of it by 99 others, eight times each: 160 KB a second for 100 seconds after a start of 300 nodes.
-    /// So there only the relays tell of new members, for the sake of other zones, and who falls silent is told twice.
+    /// Drops pending updates that other nodes do not need, where heartbeats are broadcast in a large zone. Of
+    /// 100 nodes that broadcast heartbeats, each receives a message from every new member directly, and 99
+    /// others would send it the same update eight times each: 160 KB per second for 100 seconds after a start
+    /// of 300 nodes. In such a zone, only the relays send updates of members that are alive, for the sake of
+    /// other zones, and updates of members that have fallen silent are sent twice.
     fn suppress_redundant_updates(&mut self) {
         if !self.broadcasts_to_large_zone() {
             return;
@@ -281,14 +291,15 @@
             .for_each(|remaining| *remaining = (*remaining).min(BROADCAST_TRANSMISSIONS_PER_UPDATE));
     }
 
-    /// Leaves a time in which this node's own process stood still out of the silence of others: what they sent may lie unread.
+    /// Excludes a stall of this node's own process from the silence of its peers, whose messages may still be
+    /// unread.
     pub fn discount_stall(&mut self, stall: Duration) {
         self.unanswered_probes.values_mut().for_each(|since| *since += stall);
         let suspects = self.members.values_mut().filter(|member| member.state == MemberState::Suspect);
         suspects.for_each(|member| member.since += stall);
     }
 
-    /// Advances suspicion and death.
+    /// Marks members as suspect or dead whose time has run out, removes expired ones and returns the changes.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipChange> {
         let timing = self.timing;
         let unanswered_probes = &self.unanswered_probes;
@@ -326,12 +337,12 @@
             .filter(|member| member.zone == self.zone && member.state <= MemberState::Suspect)
     }
 
-    /// Nodes of this zone that are not dead, this one included.
+    /// Returns the number of nodes of this zone that are alive or suspect, this one included.
     pub fn zone_size(&self) -> usize {
         self.active_zone_members().count() + 1
     }
 
-    /// Whether this node speaks with other zones.
+    /// Returns whether this node is a relay of its zone.
     pub fn is_relay(&self) -> bool {
         let alive = self.active_zone_members().filter(|member| member.state == MemberState::Alive);
         let mut candidates: Vec<(&str, u32)> =
@@ -340,13 +351,14 @@
         choose_relays(&self.zone, &candidates, RELAYS_PER_ZONE).contains(&self.own.as_str())
     }
 
-    /// Addresses of the relays of the other zones.
+    /// Returns the addresses of the relays of the other zones.
     pub fn remote_relays(&self) -> Vec<SocketAddr> {
         self.remote_relay_members().into_iter().map(|member| member.address).collect()
     }
 
-    /// The relays of the other zones. Where members have fallen silent, more are tried, so that the
-    /// loss of a whole zone is seen in a number of rounds that grows with the logarithm of its size.
+    /// Returns the relays of the other zones. For each member of a zone that is not alive, one more node is
+    /// included, so that the loss of a whole zone is detected in a number of rounds that is logarithmic in
+    /// its size.
     fn remote_relay_members(&self) -> Vec<&Member> {
         let mut by_zone: BTreeMap<&ZoneName, (Vec<&Member>, usize)> = BTreeMap::new();
         for member in self.members.values().filter(|member| member.zone != self.zone) {
@@ -367,12 +379,13 @@
         relays
     }
 
-    /// Who gets this period's heartbeat.
+    /// Returns the recipients of this period's heartbeat and records the probes of those that are not dead.
     pub fn targets(&mut self, now: Instant) -> Vec<Target> {
         let mut probed: BTreeMap<NodeId, bool> = BTreeMap::new();
         let zone: Vec<NodeId> = self.active_zone_members().map(|member| member.node.clone()).collect();
         if zone.len() < FULL_MESH_LIMIT {
-            // Members that count the zone as large do not send here by themselves.
+            // Members in whose view the zone is large do not send heartbeats here on their own, so an
+            // unresponsive one is asked to reply.
             let is_unresponsive = |node: &NodeId| {
                 self.unanswered_probes
                     .get(node)
@@ -388,8 +401,8 @@
         if self.is_relay() {
             probed.extend(self.remote_relay_members().iter().map(|member| (member.node.clone(), true)));
         }
-        // An unanswered probe is repeated until it is answered or its node suspected, also when the
-        // node would not be probed otherwise any more.
+        // An unanswered probe is repeated until the node replies or becomes suspect, even if the node would
+        // no longer be probed otherwise.
         let repeated = self.unanswered_probes.keys().take(REPEATED_PROBES_PER_PERIOD).cloned();
         probed.extend(repeated.map(|node| (node, true)));
         self.unanswered_probes.retain(|node, _| probed.contains_key(node));
@@ -407,7 +420,7 @@
         .collect()
     }
 
-    /// Addresses of other members that can probe `node` for this one.
+    /// Returns the addresses of randomly chosen members that can probe `node` on behalf of this one.
     pub fn indirect_probers(&self, node: &NodeId) -> Vec<SocketAddr> {
         let others: Vec<&Member> = self
             .active_zone_members()
@@ -416,8 +429,9 @@
         others.sample(&mut rand::rng(), INDIRECT_PROBERS).map(|member| member.address).collect()
     }
 
-    /// Who gets the full list in this period, if anyone: a safety net under the news that travels
-    /// piggybacked. Nodes take turns.
+    /// Returns the recipient of the full member list in this period, if any. Full lists correct what
+    /// piggybacked updates have missed. The periods in which nodes send them are spread by the hash of the
+    /// node's name.
     pub fn sync_target(&mut self) -> Option<SocketAddr> {
         self.periods += 1;
         let sync_offset = rendezvous::weight(b"sync", self.own.as_str()) % SYNC_PERIODS;
@@ -429,15 +443,16 @@
         alive.choose(&mut rand::rng()).map(|member| member.address)
     }
 
-    /// Everything known.
+    /// Returns an update for every known member.
     pub fn all_updates(&self) -> Vec<MemberUpdate> {
         self.members.values().map(to_update).collect()
     }
 
-    /// What to tell others: changes first, then everyone in turn.
+    /// Returns the member updates for the next heartbeat: changed members first, then all members in
+    /// rotation.
     pub fn updates(&mut self) -> Vec<MemberUpdate> {
         self.suppress_redundant_updates();
-        // What was told least goes first, so that a wave of changes does not hold up the newest.
+        // The updates sent least often go first, so that a burst of changes does not delay the newest.
         let mut pending: Vec<(u32, NodeId)> =
             self.pending_updates.iter().map(|(node, remaining)| (*remaining, node.clone())).collect();
         pending.sort_by_key(|(remaining, _)| std::cmp::Reverse(*remaining));
@@ -463,8 +478,9 @@
     }
 }
 
-/// The names of those that speak for a zone, among `candidates` with their links in Mbit/s. What one zone tells another
-/// passes over a relay's link once for each node of its zone, so it takes the place of callers' requests there.
+/// Selects the relays of a zone among `candidates`, given with the capacity of their links in Mbit/s. A relay
+/// forwards each message from another zone to every node of its own zone, so this traffic competes with
+/// callers' requests on the relay's link; fast links are preferred.
 fn choose_relays<'a>(zone: &ZoneName, candidates: &[(&'a str, u32)], count: usize) -> Vec<&'a str> {
     let weighted: Vec<(&str, f64)> =
         candidates.iter().map(|(name, link_mbps)| (*name, link_weight(*link_mbps))).collect();
--- a/crates/beamwall-peer/src/message.rs
+++ b/crates/beamwall-peer/src/message.rs
@@ -11,13 +11,13 @@
 };
 use crate::quarantine_message::{QuarantineRequest, QuarantineUpdate};
 
-/// Every message: who sends it, what the sender holds, and the body.
+/// The envelope of every message: the sender, its state and the body.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
     /// Name of the sender.
     #[prost(string, tag = "1")]
     pub sender: String,
-    /// Incarnation of the sender: rises at each start and each refuted suspicion.
+    /// Incarnation of the sender, which rises at each start and each refuted suspicion.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// Zone of the sender.
@@ -26,7 +26,7 @@
     /// Address at which the sender listens for peers.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Settings revision in force at the sender; 0 for none.
+    /// Settings revision in force at the sender; 0 if none.
     #[prost(uint64, tag = "5")]
     pub revision: u64,
     /// Digest of the sender's resolved settings.
@@ -38,16 +38,16 @@
     /// Whether the sender is draining.
     #[prost(bool, tag = "8")]
     pub draining: bool,
-    /// Number of a question that wants an answer; 0 for none.
+    /// Number of the request if this message expects a reply; 0 otherwise.
     #[prost(uint64, tag = "9")]
     pub question: u64,
-    /// Number of the question that this message answers; 0 for none.
+    /// Number of the request to which this message replies; 0 if it is not a reply.
     #[prost(uint64, tag = "10")]
     pub answers: u64,
-    /// Capacity of the sender's network link in Mbit/s; 0 where it is not known.
+    /// Capacity of the sender's network link in Mbit/s; 0 if unknown.
     #[prost(uint32, tag = "11")]
     pub link_mbps: u32,
-    /// The body.
+    /// Body of the message.
     #[prost(
         oneof = "Body",
         tags = "20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 40, 41, 42, 43, 44, 45, 46, 47, 48, 49, 50, 51, 52"
@@ -55,95 +55,95 @@
     pub body: Option<Body>,
 }
 
-/// The kinds of message.
+/// Message bodies by kind.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Periodic sign of life with piggybacked news.
+    /// Periodic heartbeat with piggybacked updates.
     #[prost(message, tag = "20")]
     Heartbeat(Heartbeat),
-    /// Asks the receiver to probe another node.
+    /// Requests that the receiver probe another node.
     #[prost(message, tag = "21")]
     ProbeRequest(ProbeRequest),
-    /// Asks for the receiver's settings tree.
+    /// Requests the receiver's settings tree.
     #[prost(message, tag = "22")]
     TreeRequest(TreeRequest),
-    /// A whole settings tree.
+    /// A complete settings tree.
     #[prost(message, tag = "23")]
     TreeWhole(TreeSnapshot),
     /// One committed settings edit.
     #[prost(message, tag = "24")]
     TreeChange(TreeChange),
-    /// A request handed to the receiver.
+    /// Hands a request over to the receiver.
     #[prost(message, tag = "25")]
     Handover(Handover),
-    /// Whether a handover was taken.
+    /// Reply to a handover.
     #[prost(message, tag = "26")]
     HandoverAnswer(HandoverAnswer),
     /// Asks whether the receiver holds a request.
     #[prost(message, tag = "27")]
     RequestQuery(RequestQuery),
-    /// The answer to a query for a request.
+    /// Reply to a request query.
     #[prost(message, tag = "28")]
     RequestFound(RequestQueryAnswer),
-    /// Asks the owner of a claim shard for a change.
+    /// Requests a change of a claim from the owner of its shard.
     #[prost(message, tag = "29")]
     ClaimRequest(ClaimRequest),
-    /// The owner's decision.
+    /// Reply of the shard's owner to a claim request.
     #[prost(message, tag = "30")]
     ClaimAnswer(ClaimAnswer),
     /// Several committed settings edits.
     #[prost(message, tag = "31")]
     TreeChanges(TreeChanges),
-    /// Periodic sign of life of a gateway.
+    /// Periodic heartbeat of a gateway.
     #[prost(message, tag = "40")]
     GatewayBeat(GatewayHeartbeat),
-    /// Asks a gateway what changed in its policy.
+    /// Requests the policy changes that the sender lacks from a gateway.
     #[prost(message, tag = "41")]
     PolicyRequest(PolicyRequest),
-    /// What changed in a policy.
+    /// Policy changes.
     #[prost(message, tag = "42")]
     PolicyAnswer(PolicyAnswer),
-    /// Asks a gateway for its list of back ends.
+    /// Requests the list of back ends, or its changes, from a gateway.
     #[prost(message, tag = "43")]
     DirectoryRequest(DirectoryRequest),
-    /// A whole list of back ends.
+    /// The list of back ends or its changes.
     #[prost(message, tag = "44")]
     DirectoryAnswer(DirectoryAnswer),
-    /// What the gateways of one zone do, for another zone.
+    /// Summary of the gateways of one zone, sent to another zone.
     #[prost(message, tag = "45")]
     ZoneSummary(ZoneSummary),
-    /// Asks the gateway that places model requests for an engine.
+    /// Requests an engine from the gateway that places model requests.
     #[prost(message, tag = "46")]
     PlacementRequest(PlacementRequest),
-    /// The engine that it chose.
+    /// Reply with the chosen engine.
     #[prost(message, tag = "47")]
     PlacementReply(PlacementReply),
-    /// Versions that a gateway has just taken.
+    /// Versions that a gateway has just adopted.
     #[prost(message, tag = "48")]
     VersionNews(VersionUpdate),
-    /// Asks a gateway for the usage that it knows.
+    /// Requests the usage known to a gateway.
     #[prost(message, tag = "49")]
     UsageRequest(UsageRequest),
-    /// The usage that it knows.
+    /// Reply with the usage known to a gateway.
     #[prost(message, tag = "50")]
     UsageKnown(UsageAnswer),
-    /// What a gateway knows of requests under which back ends end.
+    /// Evidence about requests during which back ends terminated.
     #[prost(message, tag = "51")]
     QuarantineNews(QuarantineUpdate),
-    /// Asks a gateway for all that it knows of them.
+    /// Requests all such evidence from a gateway.
     #[prost(message, tag = "52")]
     QuarantineRequest(QuarantineRequest),
 }
 
 impl Envelope {
-    /// Length of the whole message as sent, in bytes.
+    /// Returns the encoded length of the message in bytes.
     pub fn size_bytes(&self) -> usize {
         self.encoded_len()
     }
 }
 
 impl Body {
-    /// The kind of message in metrics.
+    /// Returns the kind of message as named in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) | Self::GatewayBeat(_) => "heartbeat",
@@ -165,86 +165,86 @@
     }
 }
 
-/// Periodic sign of life with piggybacked news.
+/// Periodic heartbeat with piggybacked updates.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// What the sender knows of other nodes.
+    /// Other nodes in the view of the sender.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<MemberUpdate>,
-    /// Back ends that the sender polled or heard of lately.
+    /// Back ends that the sender polled or received reports of recently.
     #[prost(message, repeated, tag = "2")]
     pub backends: Vec<BackendReport>,
     /// Back ends known to be leaving.
     #[prost(message, repeated, tag = "3")]
     pub leaving: Vec<LeavingBackend>,
-    /// What tenants want at the sender.
+    /// Demand of tenants at the sender.
     #[prost(message, repeated, tag = "4")]
     pub demands: Vec<TenantDemand>,
-    /// Digest of the machine list that the sender, a reader of its zone, read last; 0 for none.
+    /// Digest of the machine list that the sender last read, if it reads the list for its zone; 0 if none.
     #[prost(fixed64, tag = "6")]
     pub machines_digest: u64,
-    /// Whether the receiver shall answer at once with a heartbeat.
+    /// Whether the receiver is to reply immediately with a heartbeat.
     #[prost(bool, tag = "5")]
     pub wants_answer: bool,
 }
 
-/// What one node knows of another.
+/// State of one node in the view of another.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberUpdate {
-    /// Name.
+    /// Name of the node.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Zone.
+    /// Zone of the node.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Address for peers.
+    /// Address at which the node listens for peers.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Incarnation.
+    /// Incarnation of the node.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
     /// State: 0 alive, 1 suspect, 2 dead, 3 left.
     #[prost(uint32, tag = "5")]
     pub state: u32,
-    /// Capacity of its network link in Mbit/s; 0 where it is not known.
+    /// Capacity of the node's network link in Mbit/s; 0 if unknown.
     #[prost(uint32, tag = "6")]
     pub link_mbps: u32,
 }
 
-/// A back end as polled.
+/// Result of polling a back end.
 #[derive(Clone, PartialEq, Message)]
 pub struct BackendReport {
     /// Name.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// Node that polled it.
+    /// Node that polled the back end.
     #[prost(string, tag = "2")]
     pub observer: String,
-    /// Number of the poll at that node; newer is larger.
+    /// Sequence number of the poll at that node; later polls have higher numbers.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Whether it answered.
+    /// Whether the back end responded.
     #[prost(bool, tag = "4")]
     pub up: bool,
-    /// Running requests.
+    /// Number of running requests.
     #[prost(uint32, tag = "5")]
     pub running: u32,
-    /// Waiting requests.
+    /// Number of waiting requests.
     #[prost(uint32, tag = "6")]
     pub waiting: u32,
-    /// Prompt tokens not yet computed.
+    /// Prompt tokens waiting for prefill.
     #[prost(uint32, tag = "7")]
     pub queued_tokens: u32,
-    /// Prompt tokens computed a second.
+    /// Prefill throughput in prompt tokens per second.
     #[prost(uint32, tag = "8")]
     pub prefill_tokens_per_second: u32,
-    /// Whether it says that it is leaving.
+    /// Whether the back end reports that it is leaving.
     #[prost(bool, tag = "9")]
     pub leaving: bool,
-    /// Model loaded.
+    /// Loaded model.
     #[prost(string, tag = "10")]
     pub model: String,
-    /// Version loaded.
+    /// Loaded version.
     #[prost(string, tag = "11")]
     pub version: String,
 }
@@ -255,51 +255,51 @@
     /// Name.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// How it was learned: `notice`, `list`, `tree` or `engine`.
+    /// How the sender learned that the back end is leaving: `notice`, `list`, `tree` or `engine`.
     #[prost(string, tag = "2")]
     pub source: String,
-    /// Milliseconds from sending until the back end stops; absent when it stops only once idle.
+    /// Milliseconds from sending until the back end stops; absent if it stops only once idle.
     #[prost(uint64, optional, tag = "3")]
     pub remaining_ms: Option<u64>,
 }
 
-/// What a tenant wants at one node.
+/// Demand of a tenant at one node.
 #[derive(Clone, PartialEq, Message)]
 pub struct TenantDemand {
     /// Tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Tokens asked for a second.
+    /// Requested tokens per second.
     #[prost(uint64, tag = "2")]
     pub tokens_per_second: u64,
-    /// Plain calls asked for a second.
+    /// Requested plain calls per second.
     #[prost(uint64, tag = "3")]
     pub calls_per_second: u64,
 }
 
-/// Asks the receiver to probe another node.
+/// Requests that the receiver probe another node.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProbeRequest {
     /// Node to probe.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Its address.
+    /// Address of the node to probe.
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
-/// Asks for the receiver's settings tree, or for the edits that the sender lacks.
+/// Requests the receiver's settings tree, or the edits that the sender lacks.
 #[derive(Clone, PartialEq, Message)]
 pub struct TreeRequest {
-    /// Revision in force at the sender; 0 for none.
+    /// Revision in force at the sender; 0 if none.
     #[prost(uint64, tag = "1")]
     pub have_revision: u64,
 }
 
-/// Several committed settings edits, each on top of the one before.
+/// Several committed settings edits, each based on the previous one.
 #[derive(Clone, PartialEq, Message)]
 pub struct TreeChanges {
-    /// The edits.
+    /// Edits in order.
     #[prost(message, repeated, tag = "1")]
     pub changes: Vec<TreeChange>,
 }
@@ -315,10 +315,10 @@
     pub text: Option<String>,
 }
 
-/// A whole settings tree.
+/// A complete settings tree.
 #[derive(Clone, PartialEq, Message)]
 pub struct TreeSnapshot {
-    /// Revision; 0 when the sender holds none.
+    /// Revision; 0 if the sender has no settings.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// Documents.
@@ -340,7 +340,7 @@
     pub documents: Vec<TreeDocument>,
 }
 
-/// A model request moved to another node with all that is needed to continue it.
+/// A model request handed over to another node, with the state needed to continue it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Handover {
     /// Request.
@@ -355,30 +355,30 @@
     /// Prompt.
     #[prost(string, tag = "4")]
     pub prompt: String,
-    /// Session key; empty for none.
+    /// Session key; empty if none.
     #[prost(string, tag = "5")]
     pub session: String,
-    /// Class.
+    /// Class of the request.
     #[prost(string, tag = "6")]
     pub class: String,
-    /// Most tokens wanted.
+    /// Maximum number of tokens to generate.
     #[prost(uint32, tag = "7")]
     pub max_tokens: u32,
     /// Tokens generated so far; all of them were delivered or will be replayed.
     #[prost(string, repeated, tag = "8")]
     pub generated: Vec<String>,
-    /// Whether the caller asked in chat form.
+    /// Whether the caller used the chat API.
     #[prost(bool, tag = "9")]
     pub chat: bool,
-    /// Milliseconds left until the request's deadline.
+    /// Milliseconds until the request's deadline.
     #[prost(uint64, tag = "10")]
     pub remaining_ms: u64,
 }
 
-/// Whether a handover was taken.
+/// Reply to a handover.
 #[derive(Clone, PartialEq, Message)]
 pub struct HandoverAnswer {
-    /// Whether the receiver now holds the request.
+    /// Whether the node that replies has taken over the request.
     #[prost(bool, tag = "1")]
     pub taken: bool,
 }
@@ -389,15 +389,15 @@
     /// Request.
     #[prost(string, tag = "1")]
     pub request: String,
-    /// Tenant that asks; another tenant's request is not found.
+    /// Tenant on whose behalf the query is sent; requests of other tenants are not found.
     #[prost(string, tag = "2")]
     pub tenant: String,
 }
 
-/// The answer to a query for a request.
+/// Reply to a request query.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestQueryAnswer {
-    /// Whether the sender holds it.
+    /// Whether the sender holds the request.
     #[prost(bool, tag = "1")]
     pub found: bool,
     /// Address at which the sender serves callers.
@@ -405,63 +405,63 @@
     pub callers: String,
 }
 
-/// What is asked of a claim.
+/// Kind of change requested for a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimRequestKind {
-    /// Take the claim.
+    /// Acquire the claim.
     Take = 0,
-    /// Record the answer.
+    /// Record the response of the call.
     Complete = 1,
-    /// Give the claim up.
+    /// Release the claim.
     Release = 2,
 }
 
-/// Asks the owner of a claim shard for a change.
+/// Requests a change of a claim from the owner of its shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRequest {
-    /// What is asked.
+    /// Kind of change.
     #[prost(enumeration = "ClaimRequestKind", tag = "1")]
     pub kind: i32,
-    /// Key with its scope.
+    /// Idempotency key with its scope.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// Attempt that asks.
+    /// Attempt that requests the change.
     #[prost(string, tag = "3")]
     pub attempt: String,
-    /// Digest of the call, for a take.
+    /// Digest of the call, if the claim is to be acquired.
     #[prost(string, tag = "4")]
     pub call: String,
-    /// The answer to record.
+    /// Response to record.
     #[prost(message, optional, tag = "5")]
     pub answer: Option<CallAnswer>,
 }
 
-/// A recorded answer.
+/// A recorded response.
 #[derive(Clone, PartialEq, Message)]
 pub struct CallAnswer {
-    /// Status.
+    /// HTTP status code.
     #[prost(uint32, tag = "1")]
     pub status: u32,
     /// Content type.
     #[prost(string, tag = "2")]
     pub content_type: String,
-    /// Body; absent when it was too large to keep.
+    /// Body; absent if it was too large to store.
     #[prost(string, optional, tag = "3")]
     pub body: Option<String>,
 }
 
-/// How a change of a claim ended.
+/// Result of a requested change of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimResult {
-    /// The claim is the asker's, or the change was made.
+    /// The requester holds the claim, or the change was made.
     Granted = 0,
-    /// The call has run before; the answer is given.
+    /// The call was executed before; its response is included.
     Replay = 1,
     /// Another attempt holds the claim.
     Taken = 2,
-    /// The key was used for another call.
+    /// The key was used for a different call.
     OtherCall = 3,
     /// The shard is full.
     Full = 4,
@@ -471,16 +471,16 @@
     Undecided = 6,
 }
 
-/// The owner's decision.
+/// Reply of the shard's owner to a claim request.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimAnswer {
-    /// How it ended.
+    /// Result of the change.
     #[prost(enumeration = "ClaimResult", tag = "1")]
     pub result: i32,
-    /// Why nothing was or may have been written.
+    /// Reason why nothing was written, or why the outcome is unknown.
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// The answer of an earlier run.
+    /// Response of the earlier execution.
     #[prost(message, optional, tag = "3")]
     pub answer: Option<CallAnswer>,
 }
--- a/crates/beamwall-peer/src/network.rs
+++ b/crates/beamwall-peer/src/network.rs
@@ -1,4 +1,4 @@
-//! The messages of one node: a listener for what peers send, and a session for each peer that it sends to.
+//! Message exchange of one node: a listener for messages from peers, and a session for each recipient.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
@@ -23,55 +23,56 @@
 use crate::outbox::Outbox;
 use crate::session;
 
-/// Messages received and not yet handled.
+/// Maximum number of messages received and not yet handled.
 const INBOUND_QUEUE_CAPACITY: usize = 4_096;
-/// Silence after which a peer's connection is closed: longer than it keeps one that carries nothing.
+/// Time without a message after which a peer's connection is closed. It is longer than the time after which
+/// the peer itself closes an idle connection.
 const INACTIVITY_TIMEOUT: Duration = Duration::from_secs(150);
-/// Pause after a failed accept, for example when file descriptors run out.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 quick_error! {
-    /// Why peers cannot be reached.
+    /// An error in the exchange of messages with peers.
     #[derive(Debug)]
     pub enum PeerError {
-        /// The peer address could not be opened.
+        /// The listener for peers could not be opened.
         Listen(address: SocketAddr, reason: String) {
             display("cannot listen for peers on {}: {}", address, reason)
         }
-        /// No answer came in time.
+        /// No reply arrived in time.
         NoAnswer(limit: Duration) {
             display("no answer from the peer within {} ms", limit.as_millis())
         }
-        /// The network of this node is closed.
+        /// The peer network of this node is closed.
         Closed {
             display("peer network is closed")
         }
     }
 }
 
-/// Traffic counted since start.
+/// Traffic since the start of the process.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
-    /// Bytes handed to sessions.
+    /// Bytes queued for sending.
     pub sent_bytes: AtomicU64,
-    /// The same by kind of message ([`Body::kind`]).
+    /// Bytes queued for sending, by kind of message ([`Body::kind`]).
     sent_bytes_by_kind: Mutex<BTreeMap<&'static str, u64>>,
-    /// Messages handed to sessions.
+    /// Messages queued for sending.
     pub sent_messages: AtomicU64,
-    /// Messages that had to go because too many waited for their peer.
+    /// Messages dropped because the queue to their peer was full.
     pub dropped_messages: AtomicU64,
     /// Bytes received.
     pub received_bytes: AtomicU64,
     /// Messages received.
     pub received_messages: AtomicU64,
-    /// Messages received that can't be read.
+    /// Messages received that could not be decoded.
     pub unreadable_messages: AtomicU64,
-    /// Messages received of a kind that this build does not know.
+    /// Messages received whose kind this build does not know.
     pub unknown_messages: AtomicU64,
 }
 
 impl PeerTraffic {
-    /// Bytes handed to sessions since start, by kind of message.
+    /// Returns the bytes queued for sending since the start of the process, by kind of message.
     pub fn sent_bytes_by_kind(&self) -> BTreeMap<&'static str, u64> {
         lock(&self.sent_bytes_by_kind).clone()
     }
@@ -84,11 +85,11 @@
     }
 }
 
-/// What is sent to one peer, and by which task.
+/// The message queue to one peer and the task that sends it.
 #[derive(Debug)]
 struct Session {
     outbox: Arc<Outbox>,
-    /// Whether the peer's machine refused the last connection.
+    /// Whether the peer's machine refused the last connection attempt.
     is_refused: Arc<AtomicBool>,
     task: AbortHandle,
 }
@@ -111,7 +112,7 @@
 type Sessions = HashMap<SocketAddr, Session>;
 type PendingRequests = HashMap<u64, oneshot::Sender<Envelope>>;
 
-/// The sessions of one node.
+/// The peer connections of one node.
 #[derive(Debug)]
 pub struct PeerNetwork {
     sessions: Mutex<Sessions>,
@@ -119,7 +120,7 @@
     next_request_id: AtomicU64,
     blocked: Mutex<HashSet<NodeId>>,
     accept_task: Mutex<Option<AbortHandle>>,
-    /// Traffic counted since start.
+    /// Traffic since the start of the process.
     pub traffic: PeerTraffic,
 }
 
@@ -128,7 +129,8 @@
 }
 
 impl PeerNetwork {
-    /// Opens the listener. Messages that are not answers arrive on the receiver.
+    /// Opens the listener. Messages that are not replies to [`ask`](Self::ask) are delivered to the returned
+    /// receiver.
     pub fn listen(address: SocketAddr) -> Result<(Arc<Self>, mpsc::Receiver<Envelope>), PeerError> {
         let listener = bind(address).map_err(|error| PeerError::Listen(address, error.to_string()))?;
         let (inbound, receiver) = mpsc::channel(INBOUND_QUEUE_CAPACITY);
@@ -145,7 +147,7 @@
         Ok((network, receiver))
     }
 
-    /// Closes all connections.
+    /// Closes the listener and all connections.
     pub fn close(&self) {
         if let Some(accept_task) = lock(&self.accept_task).take() {
             accept_task.abort();
@@ -153,17 +155,17 @@
         lock(&self.sessions).clear();
     }
 
-    /// Drops all messages from these nodes: a fault drill that operators can order.
+    /// Drops all messages received from these nodes, for fault injection by operators.
     pub fn block(&self, nodes: HashSet<NodeId>) {
         *lock(&self.blocked) = nodes;
     }
 
-    /// Whether messages of a node are dropped.
+    /// Returns whether messages from a node are dropped.
     pub fn is_blocked(&self, node: &NodeId) -> bool {
         lock(&self.blocked).contains(node)
     }
 
-    /// Sends one message; it is lost when the peer cannot be reached.
+    /// Queues a message for sending. It is lost if the peer cannot be reached.
     pub fn send(&self, to: SocketAddr, envelope: &Envelope) {
         let bytes = envelope.encode_to_vec();
         let size = bytes.len() as u64;
@@ -173,7 +175,7 @@
         self.traffic.record_sent(envelope, size);
     }
 
-    /// Sends one message and waits for its answer.
+    /// Sends a message and waits for the reply.
     pub async fn ask(
         &self,
         to: SocketAddr,
@@ -199,12 +201,13 @@
         sessions.entry(to).or_insert_with(|| Session::open(to)).outbox.clone()
     }
 
-    /// Whether the last connection to a peer was refused: its machine can be reached, and no process of a peer runs there.
+    /// Returns whether the last connection attempt to a peer was refused: its machine is reachable, but no
+    /// peer process runs there.
     pub fn is_refused(&self, peer: SocketAddr) -> bool {
         lock(&self.sessions).get(&peer).is_some_and(|session| session.is_refused.load(Ordering::Relaxed))
     }
 
-    /// Accepts peers' connections until the task is ended, and with it those that it accepted.
+    /// Accepts connections from peers until the task is aborted, which closes the accepted connections, too.
     async fn accept_connections(self: Arc<Self>, listener: TcpListener, inbound: mpsc::Sender<Envelope>) {
         let mut connections = JoinSet::new();
         loop {
@@ -218,7 +221,8 @@
         }
     }
 
-    /// Takes what one connection brings until it ends, which shows as the peer's silence.
+    /// Receives the messages of one connection until it ends. The end is not reported: it shows as the peer's
+    /// silence.
     async fn receive_messages(self: Arc<Self>, stream: TcpStream, inbound: mpsc::Sender<Envelope>) {
         let mut stream = BufReader::new(stream);
         while let Ok(Ok(message)) = timeout(INACTIVITY_TIMEOUT, read_message(&mut stream)).await {
@@ -248,7 +252,7 @@
 
     fn complete_request(&self, envelope: Envelope) {
         if let Some(reply_sender) = lock(&self.pending_requests).remove(&envelope.answers) {
-            // Whoever asked may have given up a moment ago.
+            // The requester may have timed out in the meantime.
             let _ = reply_sender.send(envelope);
         }
     }
--- a/crates/beamwall-peer/src/outbox.rs
+++ b/crates/beamwall-peer/src/outbox.rs
@@ -1,8 +1,9 @@
-//! Messages that wait for one peer.
+//! The queue of messages to one peer.
 //!
-//! What nodes tell each other is about now: a heartbeat is overtaken by the next, a question is given up soon. So
-//! where a peer or the way to it is slow, the oldest messages go, and none is sent that has waited for long. Else
-//! a link that was full for a moment would carry old news for seconds.
+//! Messages between nodes are soon obsolete: a heartbeat is superseded by the next, and a request times out
+//! after a short time. If the peer or the link to it is slow, the oldest messages are dropped, and expired
+//! ones are not sent. Otherwise a link that was congested for a moment would carry obsolete messages for
+//! seconds.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,23 +12,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Messages that wait at most.
+/// Maximum number of queued messages.
 const CAPACITY: usize = 256;
-/// Time after which a message is not sent any more: the longest that a question waits for its answer.
+/// Time after which a queued message expires, equal to the longest time that a request waits for its reply.
 const MESSAGE_TTL: Duration = Duration::from_secs(2);
 
-/// Messages that wait for one peer, the oldest first.
+/// Queue of messages to one peer, the oldest first.
 #[derive(Debug, Default)]
 pub struct Outbox {
     queue: Mutex<VecDeque<QueuedMessage>>,
     added: Notify,
 }
 
-/// A message that waits, and since when.
+/// A queued message and the time at which it was queued.
 #[derive(Debug)]
 pub struct QueuedMessage {
     queued_at: Instant,
-    /// The message as sent.
+    /// The encoded message.
     pub message: Vec<u8>,
 }
 
@@ -36,7 +37,7 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a message; returns whether the oldest one had to go for it.
+    /// Queues a message and returns whether the oldest one was dropped to make room for it.
     pub fn push(&self, message: Vec<u8>, now: Instant) -> bool {
         let mut queue = self.lock();
         let is_full = queue.len() >= CAPACITY;
@@ -49,7 +50,7 @@
         is_full
     }
 
-    /// The next message that has not waited for too long, as soon as there is one.
+    /// Waits for a message that has not expired, removes it from the queue and returns it.
     pub async fn next(&self) -> QueuedMessage {
         loop {
             if let Some(message) = self.pop_unexpired(Instant::now()) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Puts a message that could not be sent back to its place.
+    /// Returns a message that could not be sent to the front of the queue.
     pub fn put_back(&self, unsent: QueuedMessage) {
         self.lock().push_front(unsent);
     }
--- a/crates/beamwall-peer/src/quarantine_message.rs
+++ b/crates/beamwall-peer/src/quarantine_message.rs
@@ -1,51 +1,51 @@
-//! What gateways tell each other of requests under which back ends end.
+//! Messages between gateways about requests during which back ends terminated.
 
 use prost::Message;
 
-/// What the sender saw, or all that it knows.
+/// Evidence that the sender observed, or all evidence that it holds.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuarantineUpdate {
-    /// Back ends that ended.
+    /// Terminations of back ends.
     #[prost(message, repeated, tag = "1")]
     pub endings: Vec<TerminationMessage>,
-    /// Requests that ran to an end.
+    /// Requests that completed.
     #[prost(message, repeated, tag = "2")]
     pub completions: Vec<CompletionMessage>,
-    /// Trials of held requests.
+    /// Trials granted to held requests.
     #[prost(message, repeated, tag = "3")]
     pub trials: Vec<TrialMessage>,
 }
 
-/// Asks for all that the receiver knows.
+/// Requests all evidence that the receiver holds.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct QuarantineRequest {}
 
-/// A back end that ended.
+/// The termination of a back end.
 #[derive(Clone, PartialEq, Message)]
 pub struct TerminationMessage {
     /// The back end.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// When it ended, in milliseconds since 1970.
+    /// When the back end terminated, in milliseconds since 1970.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
-    /// Fingerprints of the requests that it had open, 16 bytes each, one after another.
+    /// Fingerprints of the requests that were open there, 16 bytes each, concatenated.
     #[prost(bytes = "vec", tag = "3")]
     pub open: Vec<u8>,
 }
 
-/// A request that ran to an end.
+/// The completion of a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct CompletionMessage {
     /// The request's fingerprint.
     #[prost(bytes = "vec", tag = "1")]
     pub request: Vec<u8>,
-    /// When, in milliseconds since 1970.
+    /// When the request completed, in milliseconds since 1970.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
 }
 
-/// A trial of a held request.
+/// A trial granted to a held request.
 #[derive(Clone, PartialEq, Message)]
 pub struct TrialMessage {
     /// The request's fingerprint.
@@ -54,7 +54,7 @@
     /// The number of the trial, from 1.
     #[prost(uint32, tag = "2")]
     pub number: u32,
-    /// When it was granted, in milliseconds since 1970.
+    /// When the trial was granted, in milliseconds since 1970.
     #[prost(uint64, tag = "3")]
     pub at_ms: u64,
 }
--- a/crates/beamwall-peer/src/rollout_message.rs
+++ b/crates/beamwall-peer/src/rollout_message.rs
@@ -1,85 +1,86 @@
-//! What gateways tell each other of rollouts: orders, how far they have come, and what was counted.
+//! Messages between gateways about rollouts: orders, stages and evidence.
 
 use prost::Message;
 
-/// What the sender knows of rollouts.
+/// Rollouts in the view of the sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutUpdate {
-    /// The orders.
+    /// Rollout orders.
     #[prost(message, repeated, tag = "1")]
     pub orders: Vec<OrderMessage>,
-    /// How far they have come.
+    /// Current stage of each order.
     #[prost(message, repeated, tag = "2")]
     pub stages: Vec<StageMessage>,
-    /// What was counted.
+    /// Evidence counted for each order.
     #[prost(message, repeated, tag = "3")]
     pub evidence: Vec<EvidenceMessage>,
 }
 
-/// Identifies an order.
+/// Identifies a rollout order.
 #[derive(Clone, PartialEq, Message)]
 pub struct OrderIdMessage {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The version that shall take the traffic.
+    /// The version that is rolled out.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// The store's revision at which it was made.
+    /// Revision of the store at which the order was created.
     #[prost(uint64, tag = "3")]
     pub made: u64,
 }
 
-/// An order.
+/// A rollout order.
 #[derive(Clone, PartialEq, Message)]
 pub struct OrderMessage {
-    /// Identifies it.
+    /// Identifies the order.
     #[prost(message, optional, tag = "1")]
     pub id: Option<OrderIdMessage>,
-    /// Time in which it shall be done, in milliseconds.
+    /// Time within which the rollout is to be completed, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub interval_ms: u64,
-    /// The store's revision at which it was read last.
+    /// Revision of the store at which the order was last read.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Time since it was first seen, in milliseconds.
+    /// Time since the order was first seen, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
-    /// What came of it: 0 nothing yet, 1 rolled back, 2 succeeded.
+    /// Verdict: 0 for none yet, 1 for rolled back, 2 for succeeded.
     #[prost(uint32, tag = "5")]
     pub verdict: u32,
-    /// Whether it was taken back.
+    /// Whether the order was withdrawn.
     #[prost(bool, tag = "6")]
     pub is_withdrawn: bool,
 }
 
-/// How far an order has come.
+/// The stage of a rollout order.
 #[derive(Clone, PartialEq, Message)]
 pub struct StageMessage {
     /// The order.
     #[prost(message, optional, tag = "1")]
     pub id: Option<OrderIdMessage>,
-    /// Epoch of the lease under which it was decided.
+    /// Epoch of the lease under which the stage was decided.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Number of the telling under that epoch.
+    /// Sequence number of the update within that epoch.
     #[prost(uint64, tag = "3")]
     pub number: u64,
-    /// Share of the requests that go to the new version, 0 to 1.
+    /// Share of requests sent to the new version, 0 to 1.
     #[prost(double, tag = "4")]
     pub share: f64,
-    /// Back ends among which they are divided.
+    /// Number of back ends among which these requests are divided.
     #[prost(uint64, tag = "5")]
     pub back_ends: u64,
-    /// Time until the new version takes all, in milliseconds, from when this was told first.
+    /// Time from the first sending of this update until the new version receives all requests, in
+    /// milliseconds.
     #[prost(uint64, optional, tag = "6")]
     pub takes_all_in_ms: Option<u64>,
-    /// Time since then, in milliseconds.
+    /// Time since the first sending, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub age_ms: u64,
 }
 
-/// What was counted of an order.
+/// Evidence counted for a rollout order.
 #[derive(Clone, PartialEq, Message)]
 pub struct EvidenceMessage {
     /// The order.
@@ -91,27 +92,28 @@
     /// Requests sent to the new version.
     #[prost(uint64, tag = "3")]
     pub exposed: u64,
-    /// Answers of the old version by route, and of the new one by route and back end.
+    /// Responses of the old version by route, and of the new version by route and back end.
     #[prost(message, repeated, tag = "4")]
     pub answers: Vec<AnswerCountsMessage>,
-    /// Answers of the old version by route and back end. Builds that do not know this field read the sums above.
+    /// Responses of the old version by route and back end. Builds that do not know this field read the sums
+    /// in `answers`.
     #[prost(message, repeated, tag = "5")]
     pub old_answers: Vec<AnswerCountsMessage>,
 }
 
-/// Answers on one route: of one back end, or of the old version together.
+/// Number of responses on one route: of one back end, or of all back ends of the old version.
 #[derive(Clone, PartialEq, Message)]
 pub struct AnswerCountsMessage {
     /// Route.
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Back end; empty for all of the old version together.
+    /// Back end; empty for all back ends of the old version.
     #[prost(string, tag = "2")]
     pub back_end: String,
-    /// Answers.
+    /// Responses.
     #[prost(uint64, tag = "3")]
     pub answers: u64,
-    /// The bad ones among them.
+    /// Bad responses among them.
     #[prost(uint64, tag = "4")]
     pub bad: u64,
 }
--- a/crates/beamwall-peer/src/session.rs
+++ b/crates/beamwall-peer/src/session.rs
@@ -1,7 +1,8 @@
 //! The outgoing connection to one peer.
 //!
-//! It carries messages one way; answers come over the peer's own. It is opened when there is something to send, and
-//! again after it broke. A connection that has gone silent breaks by the limit on what stays unacknowledged.
+//! The connection carries messages in one direction; replies arrive on the peer's own connection. It is
+//! opened when a message is to be sent, and again after a failure. A connection on which the peer no longer
+//! acknowledges data fails by the TCP user timeout.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,21 +19,23 @@
 use crate::frame::write_message;
 use crate::outbox::{Outbox, QueuedMessage};
 
-/// Longest time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that sent bytes may stay unacknowledged before the connection counts as broken.
+/// Time for which sent bytes may stay unacknowledged before the kernel closes the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time to write one message; a peer that reads nothing for so long is tried anew.
+/// Timeout for writing one message. If the peer reads nothing for so long, the connection is closed and
+/// opened again.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// First pause after a connection could not be opened; it doubles with each further one.
+/// Delay after the first failure to open a connection; it doubles with each further failure.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest pause.
+/// Upper bound of the retry delay.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Time without a message to send after which the connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Sends what waits in `outbox` to a peer until the task is ended. Failures show as the peer's silence, which
-/// membership logs; `is_refused` tells whether the last connection was refused.
+/// Sends the messages in `outbox` to a peer until the task is aborted. Failures are not logged here:
+/// membership logs the resulting silence of the peer. `is_refused` reports whether the last connection
+/// attempt was refused.
 pub async fn run(to: SocketAddr, outbox: Arc<Outbox>, is_refused: Arc<AtomicBool>) {
     let mut retry_delay = INITIAL_RETRY_DELAY;
     loop {
@@ -44,7 +47,7 @@
         match connection {
             Ok(stream) => {
                 retry_delay = INITIAL_RETRY_DELAY;
-                // Whatever ended the connection, the next message opens another.
+                // The reason is irrelevant: the next message opens a new connection.
                 let _ = send_all(stream, first, &outbox).await;
             }
             Err(_) => {
@@ -63,13 +66,14 @@
     Ok(stream)
 }
 
-/// Sends messages until the connection ends or has nothing to carry.
+/// Sends messages until the connection is closed, fails or has been idle for [`IDLE_TIMEOUT`].
 async fn send_all(stream: TcpStream, first: QueuedMessage, outbox: &Outbox) -> io::Result<()> {
     let (mut reader, mut writer) = stream.into_split();
     let mut next = first;
     loop {
         write(&mut writer, &next.message).await?;
-        // The peer sends nothing here: reading tells when it closes, before another message is lost.
+        // The peer sends nothing on this connection: reading detects that it has closed it, before another
+        // message is lost.
         next = tokio::select! {
             biased;
             closed = wait_until_closed(&mut reader) => return closed,
--- a/crates/beamwall-peer/tests/membership.rs
+++ b/crates/beamwall-peer/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership under random message loss: who lives is seen alive, who died is seen dead, and a
-//! mended cut heals.
+//! Membership under random message loss: all nodes see running nodes as alive and stopped nodes as dead, also
+//! after a partition has healed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,13 +27,14 @@
     0xc_0000_4000,
 ];
 
-/// Nodes that exchange heartbeats in steps of one period, over links that lose and are cut.
+/// Nodes that exchange heartbeats in steps of one period, over links that may lose messages or be
+/// partitioned.
 struct Network {
     nodes: BTreeMap<SocketAddr, (String, String, Membership)>,
     stopped: Vec<SocketAddr>,
     links_mbps: BTreeMap<SocketAddr, u32>,
     sent: usize,
-    /// Members told in the last period, introductions included.
+    /// Member updates sent in the last period, immediate replies included.
     updates_sent: usize,
     broadcasts: bool,
     now: Instant,
@@ -49,7 +50,7 @@
         Self::with_links(zones, per_zone, |_| 0)
     }
 
-    /// Nodes on links whose capacity depends on their place in their zone.
+    /// Creates nodes on links whose capacity depends on the index of the node in its zone.
     fn with_links(zones: usize, per_zone: usize, link_mbps: impl Fn(usize) -> u32) -> Self {
         let timing = MembershipTiming::default();
         let mut nodes = BTreeMap::new();
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The same nodes, whose heartbeats go to all of their zone.
+    /// Makes all nodes send their heartbeats to their whole zone.
     fn with_broadcast(mut self) -> Self {
         self.broadcasts = true;
         let with_broadcast = |(address, (name, zone, membership))| {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// One period. `passes` tells whether a message from one zone to another arrives.
+    /// Simulates one period. `is_delivered` decides whether a message from one zone to another arrives.
     fn step(&mut self, mut is_delivered: impl FnMut(&str, &str) -> bool) {
         self.now += self.timing.period;
         let now = self.now;
@@ -123,7 +124,7 @@
             }
             let membership = &mut self.nodes.get_mut(node).expect("known").2;
             let known: Vec<SocketAddr> = membership.members().map(|member| member.address).collect();
-            // Seeds: everybody is told of the first two nodes.
+            // The first two nodes are seeds, whose addresses all nodes know.
             let seeds = [address(0), address(1)].into_iter().filter(|seed| !known.contains(seed));
             targets.extend(seeds.map(|address| Target { address, wants_answer: true }));
             if let Some(address) = membership.sync_target() {
@@ -213,7 +214,7 @@
     for _ in 0..60 {
         network.step(|_, _| true);
     }
-    network.assert_views("after losses");
+    network.assert_views("after message losses");
     let stop_count = input.int_in_range(1..=per_zone.min(3))?;
     network.stopped = (0..stop_count)
         .map(|number| address(2 + number * per_zone / 2))
@@ -223,14 +224,14 @@
         network.step(|_, _| true);
     }
     network.assert_views("after stops");
-    // A zone is cut off, long enough to be taken for dead, and comes back.
+    // A zone is partitioned for long enough to be declared dead, and the partition heals.
     for _ in 0..60 {
         network.step(|from, to| from == to || (from != "z0" && to != "z0"));
     }
     for _ in 0..200 {
         network.step(|_, _| true);
     }
-    network.assert_views("after the cut");
+    network.assert_views("after the partition");
     Ok(())
 }
 
@@ -249,7 +250,7 @@
             network.step(|_, _| true);
         }
         let mean = network.sent as f64 / network.nodes.len() as f64;
-        println!("zones {zones}, nodes a zone {per_zone}: {mean:.1} messages a node and period");
+        println!("zones {zones}, nodes per zone {per_zone}: {mean:.1} messages per node and period");
         assert!(mean <= 16.0 + 2.0 * zones as f64);
     }
 }
@@ -257,7 +258,7 @@
 #[test]
 fn nodes_on_fast_links_become_relays_in_every_view() {
     let (zones, per_zone) = (4, 22);
-    // The last nodes of a zone, so that their names tell nothing.
+    // The last nodes of each zone are fast, so that they are not selected because of their names.
     let is_fast = |number: usize| number % per_zone >= per_zone - 2;
     let link = |place: usize| if place >= per_zone - 2 { 200 } else { 10 };
     let mut network = Network::with_links(zones, per_zone, link);
@@ -274,7 +275,7 @@
             fast.iter().filter(|relay| network.nodes[*relay].1 != *zone).copied().collect();
         assert_eq!(known_relays, expected, "as {node} sees it");
     }
-    // Where the fast ones stop, others speak for the zone.
+    // When the nodes on fast links stop, other nodes become the relays of the zone.
     network.stopped = fast[..2].to_vec();
     for _ in 0..60 {
         network.step(|_, _| true);
@@ -303,9 +304,9 @@
     while !lost(&network) {
         network.step(|_, _| true);
         periods += 1;
-        assert!(periods < 400, "the loss was not seen within 100 seconds");
+        assert!(periods < 400, "the loss was not detected within 400 periods");
     }
-    println!("a zone of {per_zone} was seen as dead after {periods} periods");
+    println!("a zone of {per_zone} nodes was declared dead after {periods} periods");
 }
 
 #[test]
@@ -327,7 +328,7 @@
     assert!(Duration::from_secs(10) > network.timing.suspect_after + network.timing.dead_after);
 }
 
-/// The load: all nodes of three zones of 100 start at once, and each node's heartbeats go to its whole zone.
+/// All nodes of three zones of 100 nodes start at once, and each node sends its heartbeats to its whole zone.
 #[test]
 fn a_simultaneous_start_of_broadcasting_nodes_sends_few_updates() {
     let (zones, per_zone) = (3, 100);
@@ -340,17 +341,19 @@
     }
     network.assert_views("after the start");
     let (start, steady_state) = (updates_sent[..20].iter().sum::<usize>(), updates_sent[79]);
-    println!("members told by a node: {start} in the first 20 periods, {steady_state} in one of the last");
-    assert!(start < 5_000, "{start} in the first 20 periods");
-    assert!(steady_state <= 2 * per_zone, "{steady_state} a period");
+    println!(
+        "member updates sent by a node: {start} in the first 20 periods, {steady_state} in one of the last"
+    );
+    assert!(start < 5_000, "{start} updates per node in the first 20 periods");
+    assert!(steady_state <= 2 * per_zone, "{steady_state} updates per node and period");
     network.stopped = vec![address(1), address(150), address(250)];
     for _ in 0..60 {
         network.step(|_, _| true);
     }
-    network.assert_views("after three stopped");
+    network.assert_views("after three nodes stopped");
 }
 
-/// Guards against: a node that was stopped takes its peers for silent, though what they sent lies unread.
+/// Guards against a stalled node that treats its peers as silent, although their messages are only unread.
 #[test]
 fn a_stall_of_the_own_process_does_not_make_peers_suspect() {
     let timing = MembershipTiming::default();
--- a/crates/beamwall-peer/tests/network.rs
+++ b/crates/beamwall-peer/tests/network.rs
@@ -1,10 +1,10 @@
 //! Sessions between nodes that stop and start at any time.
 //!
-//! Seen: gateways ended with a segmentation fault some hundred milliseconds after their start, while many of their peers
-//! were restarted, and a caller's stream was cut by it. How: in the library that carried the sessions, while
-//! connections to peers were opened and refused in great number. Cause: the library used a lock after its end, as it said when it
-//! aborted the first test below; that the fault of the gateways was the same is suspected. A process must not end whatever its
-//! peers do, so sessions do without it. Proof: restarts as below.
+//! Guards against a crash of the process while its peers restart. With an earlier messaging library, gateways
+//! ended with a segmentation fault some hundred milliseconds after their start, while many connections to
+//! restarting peers were opened and refused, and a caller's stream was cut. The library used a lock after its
+//! destruction, as it reported when it aborted the first test below; the fault of the gateways is suspected
+//! to be the same. Sessions therefore do without that library.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 const NODES: usize = 40;
 const ROUNDS: usize = 400;
 const ROUND: Duration = Duration::from_millis(10);
-/// Longest wait for what must come.
+/// Maximum time to wait for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn version_message(from: SocketAddr, version: u64) -> Envelope {
@@ -114,7 +114,7 @@
     for generation in 1..=3 {
         let since = Instant::now();
         let (receiver, mut inbox) = loop {
-            // The life before gives its port back a moment after it was closed.
+            // The previous generation releases its port shortly after it was closed.
             match PeerNetwork::listen(addresses[1]) {
                 Ok(node) => break node,
                 Err(error) => assert!(since.elapsed() < TIMEOUT, "{error}"),
@@ -124,13 +124,13 @@
         while inbox.is_empty() {
             sender.send(addresses[1], &version_message(addresses[0], generation));
             tokio::time::sleep(ROUND).await;
-            assert!(since.elapsed() < TIMEOUT, "life {generation} hears nothing");
+            assert!(since.elapsed() < TIMEOUT, "generation {generation} receives nothing");
         }
-        // What was sent to the life before may still come, but is not old.
+        // A message to the previous generation may still arrive, but none that is older.
         assert!(version(&receive(&mut inbox).await) + 1 >= generation);
         receiver.close();
         drop(inbox);
-        // Messages to a peer that is away are lost and block nobody.
+        // Messages to an absent peer are lost and do not block the sender.
         (0..1_000).for_each(|_| sender.send(addresses[1], &version_message(addresses[0], generation)));
     }
 }
@@ -151,7 +151,7 @@
     let (_receiver, mut inbox) = PeerNetwork::listen(addresses[1]).expect("listens");
     let mut stream = TcpStream::connect(addresses[1]).await.expect("connects");
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("writes");
-    // The first four bytes announce more than a gigabyte.
+    // The first four bytes are a length prefix of more than a gigabyte.
     let ended = timeout(TIMEOUT, stream.read(&mut [0; 1])).await.expect("in time");
     assert!(!matches!(ended, Ok(1..)), "the connection is closed");
     sender.send(addresses[1], &version_message(addresses[0], 1));
@@ -178,7 +178,7 @@
     };
     send(0);
     let (mut stream, _) = peer.accept().await.expect("a connection");
-    // More than buffers take, for longer than messages are worth sending.
+    // Sends more than the socket buffers hold, for longer than the TTL of a message.
     for number in 1..=60 {
         send(number);
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -187,12 +187,12 @@
     while received.last() != Some(&60) {
         match read_version(&mut stream).await {
             Ok(number) => received.push(number),
-            // The session gave the connection up meanwhile and opened another.
+            // The session has closed the connection in the meantime and opened another.
             Err(_) => stream = timeout(TIMEOUT, peer.accept()).await.expect("in time").expect("accepts").0,
         }
     }
     assert!(received.is_sorted(), "{received:?}");
-    assert!(received.len() < 58, "old messages are dropped: {received:?}");
+    assert!(received.len() < 58, "expired messages were sent: {received:?}");
 }
 
 #[tokio::test]
@@ -217,12 +217,13 @@
     assert_eq!(outbox.next().await.message, [2]);
 }
 
-/// Whether a member that is silent may still serve: one that is cut off may, one whose process has ended can't.
+/// A refused connection distinguishes a silent member whose process has ended from one that is partitioned
+/// and may still serve requests.
 #[tokio::test]
 async fn refused_connections_show_whether_the_peer_process_runs() {
     let addresses = free_addresses(2);
     let (own, _own_inbox) = PeerNetwork::listen(addresses[0]).expect("it listens");
-    assert!(!own.is_refused(addresses[1]), "nothing was sent yet");
+    assert!(!own.is_refused(addresses[1]), "no connection was attempted yet");
     let wait_for_refused = async |expected: bool| {
         timeout(TIMEOUT, async {
             while own.is_refused(addresses[1]) != expected {
@@ -233,9 +234,9 @@
         .await
         .is_ok()
     };
-    assert!(wait_for_refused(true).await, "nobody listens there");
+    assert!(wait_for_refused(true).await, "no process listens at the address");
     let (peer, _peer_inbox) = PeerNetwork::listen(addresses[1]).expect("it listens");
-    assert!(wait_for_refused(false).await, "a process listens there again");
+    assert!(wait_for_refused(false).await, "a process listens at the address");
     peer.close();
-    assert!(wait_for_refused(true).await, "it has ended");
+    assert!(wait_for_refused(true).await, "the process no longer listens");
 }
--- a/crates/beamwall-peer/tests/transfer.rs
+++ b/crates/beamwall-peer/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Pacing of large answers.
+//! Pacing of large messages, and compression of values.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn messages_are_admitted_one_after_another_regardless_of_size() {
-    // 10 Mbit/s, of which half: 625,000 bytes a second.
+    // Half of 10 Mbit/s is 625,000 bytes per second.
     let pacer = TransferPacer::new(10);
     let start = Instant::now();
     assert_eq!(pacer.admit(125_000, start), Ok(()));
@@ -17,7 +17,7 @@
     assert_eq!(pacer.admit(125_000, start + Duration::from_millis(200)), Ok(()));
 }
 
-/// Bytes that pass in ten seconds when `size` bytes are asked for each millisecond.
+/// Returns the bytes admitted in ten seconds if a message of `size` bytes is attempted each millisecond.
 fn admitted_bytes_in_ten_seconds(link_mbps: u32, size: usize) -> usize {
     let pacer = TransferPacer::new(link_mbps);
     let start = Instant::now();
@@ -31,13 +31,16 @@
         for size in [200, 1_400, 8_000, 100_000] {
             let admitted = admitted_bytes_in_ten_seconds(link_mbps, size) as f64;
             let half = f64::from(link_mbps) * 125_000.0 * 10.0 / 2.0;
-            // What may stand in line at the end: 20 ms of half of the link, and the last answer.
+            // At the end, 20 ms at half of the link's capacity and the last message may be in the backlog.
             assert!(
                 admitted <= half * 1.002 + size as f64,
                 "{admitted} of {half} at {link_mbps} Mbit/s, {size} bytes"
             );
             let asked = 10_000.0 * size as f64;
-            assert!(admitted >= half.min(asked) * 0.99 - size as f64, "{admitted} of {half}: room was left");
+            assert!(
+                admitted >= half.min(asked) * 0.99 - size as f64,
+                "{admitted} of {half}: capacity was left unused"
+            );
         }
     }
 }
