--- a/crates/beamwall-duties/tests/checkpoint.rs
+++ b/crates/beamwall-duties/tests/checkpoint.rs
@@ -6,9 +6,9 @@
 use beamwall_gateway::usage::{CarriedUsage, WindowCounts};
 use beamwall_peer::compressed;
 
-/// Number of tenants, gateway incarnations, open windows and zones at the planned size.
+/// Number of tenants, gateway generations, open windows and zones at the planned size.
 const TENANTS: u64 = 300;
-const GATEWAY_INCARNATIONS: u32 = 2_700;
+const GATEWAY_GENERATIONS: u32 = 2_700;
 const WINDOWS: u64 = 3;
 const ZONES: u32 = 25;
 /// Object size limit of the platform's store; a larger checkpoint is not saved.
@@ -27,7 +27,7 @@
     DutyCheckpoint {
         first_open_window: Some(353_445_120),
         usage: CarriedUsage {
-            lives: (0..GATEWAY_INCARNATIONS).map(|life| life.wrapping_mul(0x9e37_79b9)).collect(),
+            lives: (0..GATEWAY_GENERATIONS).map(|generation| generation.wrapping_mul(0x9e37_79b9)).collect(),
             windows: windows.collect(),
         },
         orders: (0..20).flat_map(orders).collect(),
--- a/crates/beamwall-peer/src/compressed.rs
+++ b/crates/beamwall-peer/src/compressed.rs
@@ -24,7 +24,7 @@
         /// Conversion to JSON failed, or the JSON text does not represent a value of the expected type.
         Text(cause: serde_json::Error) {
             from()
-            display("unexpected JSON value: {}", cause)
+            display("not the JSON expected: {}", cause)
         }
     }
 }
--- a/crates/beamwall-quarantine/src/evidence.rs
+++ b/crates/beamwall-quarantine/src/evidence.rs
@@ -56,11 +56,11 @@
 impl Evidence {
     /// Collects the evidence about the given suspects.
     pub fn from_suspects<'a>(suspects: impl Iterator<Item = (&'a Fingerprint, &'a Suspect)>) -> Self {
-        let mut endings: BTreeMap<(&BackendId, u64), Vec<Fingerprint>> = BTreeMap::new();
+        let mut terminations: BTreeMap<(&BackendId, u64), Vec<Fingerprint>> = BTreeMap::new();
         let mut evidence = Self::default();
         for (request, suspect) in suspects {
             for (backend, at_ms) in &suspect.endings {
-                endings.entry((backend, *at_ms)).or_default().push(*request);
+                terminations.entry((backend, *at_ms)).or_default().push(*request);
             }
             if suspect.completed_ms > 0 {
                 evidence.completions.push(Completion { request: *request, at_ms: suspect.completed_ms });
@@ -75,7 +75,7 @@
             at_ms,
             open,
         };
-        evidence.endings = endings.into_iter().map(to_termination).collect();
+        evidence.endings = terminations.into_iter().map(to_termination).collect();
         evidence
     }
 
--- a/crates/beamwall-quarantine/src/hold_decision.rs
+++ b/crates/beamwall-quarantine/src/hold_decision.rs
@@ -44,14 +44,14 @@
 struct Candidate<'a> {
     request: Fingerprint,
     suspect: &'a Suspect,
-    endings: HashSet<&'a BackendId>,
+    terminations: HashSet<&'a BackendId>,
     threshold_reached_ms: u64,
 }
 
 impl Candidate<'_> {
     /// Whether this request explains terminations at which `other` was open, too.
     fn takes_precedence_over(&self, other: &Candidate<'_>) -> bool {
-        match self.endings.len().cmp(&other.endings.len()) {
+        match self.terminations.len().cmp(&other.terminations.len()) {
             Ordering::Greater => self.threshold_reached_ms <= other.threshold_reached_ms,
             Ordering::Equal => self.threshold_reached_ms < other.threshold_reached_ms,
             Ordering::Less => false,
@@ -61,9 +61,9 @@
     /// Number of its terminations at which none of `others` was open.
     fn unshared_terminations(&self, others: &[&Candidate<'_>]) -> usize {
         let is_shared = |backend: &BackendId| {
-            others.iter().any(|other| other.request != self.request && other.endings.contains(backend))
+            others.iter().any(|other| other.request != self.request && other.terminations.contains(backend))
         };
-        self.endings.iter().filter(|backend| !is_shared(backend)).count()
+        self.terminations.iter().filter(|backend| !is_shared(backend)).count()
     }
 
     fn next_trial_ms(&self, is_in_doubt: bool) -> Option<u64> {
@@ -84,14 +84,14 @@
     let mut candidates: Vec<Candidate<'_>> = suspects.iter().filter_map(to_candidate).collect();
     // Process the strongest candidates first, so that a request whose terminations are explained by
     // others explains none itself.
-    candidates.sort_by_key(|one| (Reverse(one.endings.len()), one.threshold_reached_ms, one.request));
+    candidates.sort_by_key(|one| (Reverse(one.terminations.len()), one.threshold_reached_ms, one.request));
     let mut confirmed: Vec<&Candidate<'_>> = Vec::new();
     for candidate in &candidates {
         let explains = |backend: &BackendId, other: &&Candidate<'_>| {
-            other.takes_precedence_over(candidate) && other.endings.contains(backend)
+            other.takes_precedence_over(candidate) && other.terminations.contains(backend)
         };
         let is_unexplained = |backend: &&&BackendId| !confirmed.iter().any(|other| explains(backend, other));
-        if candidate.endings.iter().filter(is_unexplained).count() >= TERMINATIONS_UNTIL_HELD {
+        if candidate.terminations.iter().filter(is_unexplained).count() >= TERMINATIONS_UNTIL_HELD {
             confirmed.push(candidate);
         }
     }
@@ -106,8 +106,8 @@
     let is_clear = |one: &&&Candidate<'_>| one.unshared_terminations(confirmed) >= TERMINATIONS_UNTIL_CLEAR;
     let clear: Vec<&&Candidate<'_>> = confirmed.iter().filter(is_clear).collect();
     let is_explained = |one: &Candidate<'_>| {
-        let stronger = || clear.iter().filter(|other| other.endings.len() > one.endings.len());
-        one.endings.iter().all(|backend| stronger().any(|other| other.endings.contains(backend)))
+        let stronger = || clear.iter().filter(|other| other.terminations.len() > one.terminations.len());
+        one.terminations.iter().all(|backend| stronger().any(|other| other.terminations.contains(backend)))
     };
     confirmed.iter().copied().filter(|one| !is_explained(one)).collect()
 }
@@ -124,7 +124,8 @@
     }
     let under_suspects = suspects.values().flat_map(|suspect| suspect.endings.keys());
     let all_terminated: HashSet<&BackendId> = under_suspects.chain(unattributed.keys()).collect();
-    let is_explained = |backend: &&&BackendId| confirmed.iter().any(|one| one.endings.contains(**backend));
+    let is_explained =
+        |backend: &&&BackendId| confirmed.iter().any(|one| one.terminations.contains(**backend));
     let explained = all_terminated.iter().filter(is_explained).count();
     all_terminated.len() - explained > explained
 }
@@ -145,18 +146,19 @@
     suspect: &'a Suspect,
     times: &HashMap<&BackendId, u64>,
 ) -> Option<Candidate<'a>> {
-    let endings: HashSet<&BackendId> = suspect.counted_terminations().map(|(backend, _)| backend).collect();
-    let mut ended_at_ms: Vec<u64> =
-        endings.iter().filter_map(|backend| times.get(backend)).copied().collect();
-    ended_at_ms.sort_unstable();
-    let threshold_reached_ms = *ended_at_ms.get(TERMINATIONS_UNTIL_HELD - 1)?;
-    Some(Candidate { request: *request, suspect, endings, threshold_reached_ms })
+    let terminations: HashSet<&BackendId> =
+        suspect.counted_terminations().map(|(backend, _)| backend).collect();
+    let mut terminated_at_ms: Vec<u64> =
+        terminations.iter().filter_map(|backend| times.get(backend)).copied().collect();
+    terminated_at_ms.sort_unstable();
+    let threshold_reached_ms = *terminated_at_ms.get(TERMINATIONS_UNTIL_HELD - 1)?;
+    Some(Candidate { request: *request, suspect, terminations, threshold_reached_ms })
 }
 
 fn hold_state(one: &Candidate<'_>, confirmed: &[&Candidate<'_>], has_other_causes: bool) -> HoldState {
     let is_in_doubt = has_other_causes || one.unshared_terminations(confirmed) == 0;
     HoldState {
-        endings: one.endings.len(),
+        endings: one.terminations.len(),
         is_in_doubt,
         trials: one.suspect.trials,
         next_trial_ms: one.next_trial_ms(is_in_doubt),
--- a/crates/beamwall-quarantine/tests/simulation.rs
+++ b/crates/beamwall-quarantine/tests/simulation.rs
@@ -59,8 +59,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { request: usize, attempt: u32 },
-    Terminates { engine: usize, incarnation: u32, request: Option<usize> },
-    Completes { engine: usize, incarnation: u32, request: usize },
+    Terminates { engine: usize, generation: u32, request: Option<usize> },
+    Completes { engine: usize, generation: u32, request: usize },
     Restarted { engine: usize },
     Propagated { termination: usize },
     PowerLoss { third: usize },
@@ -69,7 +69,7 @@
 
 #[derive(Default)]
 struct Engine {
-    incarnation: u32,
+    generation: u32,
     is_down: bool,
     open: Vec<(usize, u32)>,
 }
@@ -175,8 +175,8 @@
     fn handle(&mut self, event: Event, scenario: &Scenario) {
         match event {
             Event::Arrives { request, attempt } => self.arrive(request, attempt),
-            Event::Terminates { engine, incarnation, request }
-                if self.engines[engine].incarnation == incarnation =>
+            Event::Terminates { engine, generation, request }
+                if self.engines[engine].generation == generation =>
             {
                 if let Some(request) = request {
                     self.culprit_terminations.entry(request).or_default().push(self.now_ms);
@@ -184,8 +184,8 @@
                 }
                 self.terminate_engine(engine);
             }
-            Event::Completes { engine, incarnation, request }
-                if self.engines[engine].incarnation == incarnation =>
+            Event::Completes { engine, generation, request }
+                if self.engines[engine].generation == generation =>
             {
                 self.engines[engine].open.retain(|(other, _)| *other != request);
                 self.registry.note_completion(&self.fingerprints[request], START_MS + self.now_ms);
@@ -218,8 +218,8 @@
         let fingerprint = self.fingerprints[request];
         let refused_retry_delay = Some(REFUSED_RETRY_DELAY_MS);
         let refused_for = match self.strategy {
-            Strategy::Count(ends) => {
-                self.counts.get(&fingerprint).filter(|count| **count >= ends).and(refused_retry_delay)
+            Strategy::Count(terminations) => {
+                self.counts.get(&fingerprint).filter(|count| **count >= terminations).and(refused_retry_delay)
             }
             Strategy::Registry => match self.registry.request_status(&fingerprint, now_ms) {
                 RequestStatus::Free => None,
@@ -243,18 +243,18 @@
             return;
         }
         let engine = up[self.random.random_range(0..up.len())];
-        let incarnation = self.engines[engine].incarnation;
+        let generation = self.engines[engine].generation;
         self.engines[engine].open.push((request, attempt));
         if self.is_culprit(request) {
-            let third = self.culprit_terminations.get(&request).and_then(|ends| ends.get(2)).copied();
+            let third = self.culprit_terminations.get(&request).and_then(|times| times.get(2)).copied();
             if third.is_some_and(|third| self.now_ms > third + DETECTION_DEADLINE_MS) {
                 self.outcome.late_attempts[request] += 1;
             }
-            let ends = Event::Terminates { engine, incarnation, request: Some(request) };
-            self.add(self.now_ms + CULPRIT_RUN_TIME_MS, ends);
+            let terminates = Event::Terminates { engine, generation, request: Some(request) };
+            self.add(self.now_ms + CULPRIT_RUN_TIME_MS, terminates);
         } else {
             let takes_ms = self.random.random_range(200..2_500);
-            self.add(self.now_ms + takes_ms, Event::Completes { engine, incarnation, request });
+            self.add(self.now_ms + takes_ms, Event::Completes { engine, generation, request });
         }
     }
 
@@ -275,8 +275,8 @@
         if self.engines[engine].is_down {
             return;
         }
-        let backend = BackendId::new(format!("i-{engine}@{}", self.engines[engine].incarnation));
-        self.engines[engine].incarnation += 1;
+        let backend = BackendId::new(format!("i-{engine}@{}", self.engines[engine].generation));
+        self.engines[engine].generation += 1;
         self.engines[engine].is_down = true;
         self.add(self.now_ms + RESTART_MS, Event::Restarted { engine });
         let open = std::mem::take(&mut self.engines[engine].open);
@@ -299,8 +299,8 @@
             self.fingerprints[..self.culprits.len()].iter().copied().collect();
         let held: Vec<Fingerprint> = match self.strategy {
             Strategy::Registry => self.registry.held().iter().map(|(request, _)| *request).collect(),
-            Strategy::Count(ends) => {
-                let held = self.counts.iter().filter(|(_, count)| **count >= ends);
+            Strategy::Count(terminations) => {
+                let held = self.counts.iter().filter(|(_, count)| **count >= terminations);
                 held.map(|(request, _)| *request).collect()
             }
         };
--- a/crates/beamwall-rollout/src/registry.rs
+++ b/crates/beamwall-rollout/src/registry.rs
@@ -332,9 +332,9 @@
         running.map(|known| (known.order.id.clone(), of(known))).collect()
     }
 
-    /// Merges the counts of one incarnation of another node.
-    pub fn merge_node_evidence(&self, node: &NodeId, life: u64, reported: &[(OrderId, Evidence)]) {
-        self.merge_evidence(reported, |known| known.nodes.entry((node.clone(), life)).or_default());
+    /// Merges the counts of one generation of another node.
+    pub fn merge_node_evidence(&self, node: &NodeId, generation: u64, reported: &[(OrderId, Evidence)]) {
+        self.merge_evidence(reported, |known| known.nodes.entry((node.clone(), generation)).or_default());
     }
 
     /// Merges the summed counts of another zone.
