--- a/crates/beamwall-clock/tests/throttle.rs
+++ b/crates/beamwall-clock/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Something happens at most once in a while.
+//! Events are admitted at most once per period.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 const PERIOD: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn it_happens_at_first_and_again_after_the_period() {
+async fn admits_first_call_and_one_per_period() {
     let throttle = Throttle::default();
     assert!(throttle.admit(PERIOD));
     assert!(!throttle.admit(PERIOD));
     tokio::time::advance(PERIOD / 2).await;
-    assert!(!throttle.admit(PERIOD), "being asked does not count");
+    assert!(!throttle.admit(PERIOD), "a rejected call must not extend the period");
     tokio::time::advance(PERIOD / 2).await;
     assert!(throttle.admit(PERIOD));
     assert!(!throttle.admit(PERIOD));
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_engine_model::{EngineModels, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
 use beamwall_rollout::{VersionChoice, VersionRule};
@@ -134,7 +134,7 @@
         let is_reported = || by == ChosenBy::Placer && self.reports.is_confirmed(&backend.id, now);
         let is_cut_off = || {
             self.unreachable_zones.contains(&backend.zone)
-                && !self.health.is_responsive(&backend.id, running::now())
+                && !self.health.is_responsive(&backend.id, process_clock::now())
         };
         HealthView { unreachable: own.unreachable || is_reported() || is_cut_off(), ..own }
     }
@@ -147,7 +147,7 @@
         found.extend(self.health.unreachable(now));
         let with_pending_events = self.loads.back_ends_responding().into_iter();
         found.extend(
-            with_pending_events.filter(|backend| !self.health.is_responsive(backend, running::now())),
+            with_pending_events.filter(|backend| !self.health.is_responsive(backend, process_clock::now())),
         );
         found
     }
--- a/crates/beamwall-gateway/src/failover.rs
+++ b/crates/beamwall-gateway/src/failover.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::SilentBackendKept;
 use beamwall_model::BackendId;
@@ -55,7 +55,7 @@
             last_blocker = Some(blocker);
             report_kept(forwarder, call, silent, blocker);
         }
-        running::sleep(RESERVE_RETRY_INTERVAL).await;
+        process_clock::sleep(RESERVE_RETRY_INTERVAL).await;
     }
 }
 
--- a/crates/beamwall-gateway/src/unary.rs
+++ b/crates/beamwall-gateway/src/unary.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::{running, timers};
+use beamwall_clock::{process_clock, timers};
 use beamwall_http::body::ReadError;
 use beamwall_http::{Body, full, read_limited};
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     let mut failed_response = None;
     let mut next = attempts.first_choice(forwarder, call).await;
     while let Some(choice) = next {
-        let sent_at = running::now();
+        let sent_at = process_clock::now();
         let failed = match open(forwarder, call, &choice, &mut attempts).await {
             Ok(opened) => match read_buffered(forwarder, call, opened).await {
                 Ok(buffered) if !is_retryable_failure(call, buffered.parts.status) => {
@@ -84,7 +84,7 @@
     let sent = attempts.sent + 1;
     let next_back_end = async {
         match failover_delay {
-            Some(failover_delay) => running::sleep(failover_delay).await,
+            Some(failover_delay) => process_clock::sleep(failover_delay).await,
             None => std::future::pending().await,
         }
         failover::reserve_next_back_end(forwarder, call, attempts, sent, &choice.backend).await
@@ -114,7 +114,7 @@
     status: StatusCode,
     sent_at: Instant,
 ) {
-    let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
+    let took_ms = process_clock::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let is_bad = status.is_server_error() || choice.is_slow(took_ms);
     forwarder.record_response(call, &choice.backend, is_bad);
     let models = &forwarder.backend_state.models;
--- a/crates/beamwall-gateway/tests/ranks.rs
+++ b/crates/beamwall-gateway/tests/ranks.rs
@@ -44,7 +44,7 @@
     let mut call = call(0, None, 100);
     call.deadline = call.received + Duration::from_secs(10);
     let before = call.remaining();
-    beamwall_clock::simulation::suspend_for(suspended_for);
+    beamwall_clock::simulation::simulate_suspension(suspended_for);
     let after = call.remaining();
     assert!(after <= before.saturating_sub(suspended_for), "{before:?} before, {after:?} after");
 }
