--- a/crates/beamwall-http/src/body.rs
+++ b/crates/beamwall-http/src/body.rs
@@ -29,8 +29,8 @@
             display("body is larger than {} bytes", limit_bytes)
         }
         /// The sender did not finish in time.
-        TooSlow(limit: Duration) {
-            display("body was not received within {} ms", limit.as_millis())
+        TooSlow(time_limit: Duration) {
+            display("body was not received within {} ms", time_limit.as_millis())
         }
         /// The connection failed or the framing was broken.
         Broken(reason: String) {
@@ -63,20 +63,20 @@
 }
 
 /// Reads a whole body, refusing one that is too large or too slow.
-pub async fn read_limited<B>(body: B, limit_bytes: usize, limit: Duration) -> Result<Bytes, ReadError>
+pub async fn read_limited<B>(body: B, limit_bytes: usize, time_limit: Duration) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: std::fmt::Display,
 {
-    read_limited_with(body, limit_bytes, limit, |_| {}).await
+    read_limited_with(body, limit_bytes, time_limit, |_| {}).await
 }
 
 /// The same, and shows each part of the body as it comes.
 pub async fn read_limited_with<B>(
     body: B,
     limit_bytes: usize,
-    limit: Duration,
-    see: impl FnMut(&[u8]),
+    time_limit: Duration,
+    on_chunk: impl FnMut(&[u8]),
 ) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
@@ -87,12 +87,12 @@
     }
     let mut body = body;
     if body.size_hint().lower() > limit_bytes as u64 {
-        let _ = tokio::time::timeout(limit, discard(&mut body, limit_bytes)).await;
+        let _ = tokio::time::timeout(time_limit, discard(&mut body, limit_bytes)).await;
         return Err(ReadError::TooLarge(limit_bytes));
     }
-    match tokio::time::timeout(limit, collect(body, limit_bytes, see)).await {
+    match tokio::time::timeout(time_limit, collect(body, limit_bytes, on_chunk)).await {
         Ok(result) => result,
-        Err(_) => Err(ReadError::TooSlow(limit)),
+        Err(_) => Err(ReadError::TooSlow(time_limit)),
     }
 }
 
@@ -102,17 +102,21 @@
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
 {
-    let mut left = limit_bytes.saturating_mul(DISCARD_FACTOR);
+    let mut remaining = limit_bytes.saturating_mul(DISCARD_FACTOR);
     while let Some(Ok(frame)) = body.frame().await {
         let size = frame.data_ref().map_or(0, Bytes::len);
-        if size > left {
+        if size > remaining {
             return;
         }
-        left -= size;
+        remaining -= size;
     }
 }
 
-async fn collect<B>(mut body: B, limit_bytes: usize, mut see: impl FnMut(&[u8])) -> Result<Bytes, ReadError>
+async fn collect<B>(
+    mut body: B,
+    limit_bytes: usize,
+    mut on_chunk: impl FnMut(&[u8]),
+) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: std::fmt::Display,
@@ -122,7 +126,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| ReadError::Broken(error.to_string()))?;
         let Ok(data) = frame.into_data() else { continue };
-        see(&data);
+        on_chunk(&data);
         match first.take() {
             None if rest.is_empty() => first = Some(data),
             None => rest.extend_from_slice(&data),
--- a/crates/beamwall-http/src/client.rs
+++ b/crates/beamwall-http/src/client.rs
@@ -14,7 +14,7 @@
 use crate::pool::{Pool, PoolError};
 
 /// Largest answer to a control call.
-const ANSWER_LIMIT_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 quick_error! {
     /// Why a control call failed.
@@ -27,14 +27,14 @@
             source(cause)
         }
         /// The answer could not be read.
-        Answer(cause: ReadError) {
+        ResponseBody(cause: ReadError) {
             from()
             display("{}", cause)
             source(cause)
         }
         /// The answer did not come in time; the call may have taken effect.
-        TimedOut(limit: Duration) {
-            display("no answer within {} ms", limit.as_millis())
+        TimedOut(call_timeout: Duration) {
+            display("no answer within {} ms", call_timeout.as_millis())
         }
         /// The call could not be formed.
         Malformed(reason: String) {
@@ -49,21 +49,21 @@
         match self {
             Self::Transport(cause) => cause.nothing_sent(),
             Self::Malformed(_) => true,
-            Self::Answer(_) | Self::TimedOut(_) => false,
+            Self::ResponseBody(_) | Self::TimedOut(_) => false,
         }
     }
 }
 
 /// An answer to a control call.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ClientResponse {
     /// The status.
     pub status: StatusCode,
     /// The whole body.
     pub body: Bytes,
 }
 
-impl Answer {
+impl ClientResponse {
     /// Reads the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ClientError> {
         serde_json::from_slice(&self.body).map_err(|error| ClientError::Malformed(error.to_string()))
@@ -80,14 +80,14 @@
 pub struct JsonClient {
     pool: Pool,
     address: SocketAddr,
-    limit: Duration,
+    call_timeout: Duration,
     bearer: Option<String>,
 }
 
 impl JsonClient {
     /// A client of `address` whose calls end after `limit`.
-    pub fn new(pool: Pool, address: SocketAddr, limit: Duration) -> Self {
-        Self { pool, address, limit, bearer: None }
+    pub fn new(pool: Pool, address: SocketAddr, call_timeout: Duration) -> Self {
+        Self { pool, address, call_timeout, bearer: None }
     }
 
     /// Sends `key` as bearer key with every call.
@@ -97,8 +97,8 @@
     }
 
     /// The same client with another time limit.
-    pub fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    pub fn with_timeout(mut self, call_timeout: Duration) -> Self {
+        self.call_timeout = call_timeout;
         self
     }
 
@@ -108,18 +108,18 @@
     }
 
     /// GET.
-    pub async fn get(&self, path: &str) -> Result<Answer, ClientError> {
+    pub async fn get(&self, path: &str) -> Result<ClientResponse, ClientError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
     /// POST of a JSON value.
-    pub async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<Answer, ClientError> {
+    pub async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<ClientResponse, ClientError> {
         let body = serde_json::to_vec(value).map_err(|error| ClientError::Malformed(error.to_string()))?;
         self.call(Method::POST, path, Bytes::from(body)).await
     }
 
     /// Any call.
-    pub async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, ClientError> {
+    pub async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<ClientResponse, ClientError> {
         self.call_with(method, path, HeaderMap::new(), body).await
     }
 
@@ -130,12 +130,12 @@
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Answer, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let mut request = self.request(method, path, body)?;
         request.headers_mut().extend(headers);
-        match tokio::time::timeout(self.limit, self.exchange(request)).await {
+        match tokio::time::timeout(self.call_timeout, self.exchange(request)).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::TimedOut(self.limit)),
+            Err(_) => Err(ClientError::TimedOut(self.call_timeout)),
         }
     }
 
@@ -151,10 +151,10 @@
         builder.body(full(body)).map_err(|error| ClientError::Malformed(error.to_string()))
     }
 
-    async fn exchange(&self, request: Request<crate::Body>) -> Result<Answer, ClientError> {
+    async fn exchange(&self, request: Request<crate::Body>) -> Result<ClientResponse, ClientError> {
         let response = self.pool.send(self.address, request).await?;
         let status = response.status();
-        let body = read_limited(response.into_body(), ANSWER_LIMIT_BYTES, self.limit).await?;
-        Ok(Answer { status, body })
+        let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES, self.call_timeout).await?;
+        Ok(ClientResponse { status, body })
     }
 }
--- a/crates/beamwall-http/src/pool.rs
+++ b/crates/beamwall-http/src/pool.rs
@@ -23,16 +23,16 @@
 use tokio::net::TcpStream;
 
 use crate::Body;
-use crate::cause::is_among_causes;
+use crate::cause::has_io_cause;
 
 /// Idle connections kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
 /// Time that sent bytes may stay unacknowledged before the connection counts as broken.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Rest after which a connection is not used again where the other side says nothing of it.
-const USUAL_REST: Duration = Duration::from_secs(60);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(60);
 /// A connection is given up this long before the other side may close it.
-const REST_MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 quick_error! {
     /// Why a request got no response.
@@ -94,7 +94,7 @@
 #[derive(Clone)]
 pub struct Pool {
     idle: IdleConnections,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 }
 
 fn lock(idle: &IdleConnections) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
@@ -103,8 +103,8 @@
 
 impl Pool {
     /// A pool that gives up opening a connection after `connect_limit`.
-    pub fn new(connect_limit: Duration) -> Self {
-        Self { idle: Arc::default(), connect_limit }
+    pub fn new(connect_timeout: Duration) -> Self {
+        Self { idle: Arc::default(), connect_timeout }
     }
 
     /// Sends one request once. A reused connection that turns out closed before anything was
@@ -140,32 +140,32 @@
 
     /// Looks whether a process takes connections at an address.
     pub async fn probe(&self, address: SocketAddr) -> Reachability {
-        match self.open(address).await {
+        match self.connect_tcp(address).await {
             Ok(_) => Reachability::Accepts,
             Err(PoolError::Refused(_)) => Reachability::Refuses,
             Err(_) => Reachability::Silent,
         }
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<TcpStream, PoolError> {
-        let failed = |reason: String| PoolError::Connect(address, reason);
-        let opened = tokio::time::timeout(self.connect_limit, TcpStream::connect(address)).await;
-        match opened.map_err(|_| failed("timed out".to_owned()))? {
+    async fn connect_tcp(&self, address: SocketAddr) -> Result<TcpStream, PoolError> {
+        let connect_error = |reason: String| PoolError::Connect(address, reason);
+        let connected = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address)).await;
+        match connected.map_err(|_| connect_error("timed out".to_owned()))? {
             Ok(stream) => Ok(stream),
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 Err(PoolError::Refused(address))
             }
-            Err(error) => Err(failed(error.to_string())),
+            Err(error) => Err(connect_error(error.to_string())),
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Sender, PoolError> {
-        let failed = |reason: String| PoolError::Connect(address, reason);
-        let stream = self.open(address).await?;
+        let connect_error = |reason: String| PoolError::Connect(address, reason);
+        let stream = self.connect_tcp(address).await?;
         let _ = stream.set_nodelay(true);
-        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let (sender, connection) =
-            http1::handshake(TokioIo::new(stream)).await.map_err(|error| failed(error.to_string()))?;
+            http1::handshake(TokioIo::new(stream)).await.map_err(|error| connect_error(error.to_string()))?;
         tokio::spawn(connection);
         Ok(sender)
     }
@@ -181,51 +181,51 @@
         }
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let lease = ConnectionLease {
+                let connection = PooledConnection {
                     idle: self.idle.clone(),
                     address,
                     sender: Some(sender),
-                    rest_limit: rest_limit(response.headers()),
+                    idle_timeout: idle_timeout(response.headers()),
                 };
-                Ok(response.map(|inner| PooledBody::new(inner, lease)))
+                Ok(response.map(|inner| PooledBody::new(inner, connection)))
             }
             Err(mut failure) => match failure.take_message() {
                 Some(unsent) => Err((PoolError::NotWritten(address), Some(unsent))),
-                None => Err((from_lost(address, &failure.into_error()), None)),
+                None => Err((lost_response(address, &failure.into_error()), None)),
             },
         }
     }
 }
 
 /// The failure of a request that was sent.
-fn from_lost(address: SocketAddr, error: &hyper::Error) -> PoolError {
-    if is_among_causes(error, &[io::ErrorKind::ConnectionReset]) {
+fn lost_response(address: SocketAddr, error: &hyper::Error) -> PoolError {
+    if has_io_cause(error, &[io::ErrorKind::ConnectionReset]) {
         return PoolError::Reset(address);
     }
     PoolError::Lost(address, error.to_string())
 }
 
 /// A borrowed connection. It returns to the pool only when told so; otherwise it closes.
-struct ConnectionLease {
+struct PooledConnection {
     idle: IdleConnections,
     address: SocketAddr,
     sender: Option<Sender>,
-    rest_limit: Duration,
+    idle_timeout: Duration,
 }
 
 /// How long a connection may rest: a little less than the other side says that it keeps it.
-fn rest_limit(headers: &HeaderMap) -> Duration {
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let timeout = keep_alive.and_then(|text| {
         let parameters = text.split(',').map(str::trim);
         parameters.filter_map(|parameter| parameter.strip_prefix("timeout=")).next()?.parse().ok()
     });
-    let kept = timeout.map_or(USUAL_REST, Duration::from_secs);
-    kept.saturating_sub(REST_MARGIN)
+    let server_timeout = timeout.map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs);
+    server_timeout.saturating_sub(KEEP_ALIVE_MARGIN)
 }
 
-impl ConnectionLease {
-    fn give_back(&mut self) {
+impl PooledConnection {
+    fn return_to_pool(&mut self) {
         let Some(sender) = self.sender.take() else { return };
         if sender.is_closed() {
             return;
@@ -233,7 +233,7 @@
         let mut idle = lock(&self.idle);
         let senders = idle.entry(self.address).or_default();
         if senders.len() < MAX_IDLE_PER_ADDRESS {
-            senders.push(IdleConnection { sender, usable_until: Moment::now() + self.rest_limit });
+            senders.push(IdleConnection { sender, usable_until: Moment::now() + self.idle_timeout });
         }
     }
 }
@@ -242,15 +242,15 @@
 /// connection when dropped earlier.
 pub struct PooledBody {
     inner: Incoming,
-    lease: ConnectionLease,
+    connection: PooledConnection,
 }
 
 impl PooledBody {
-    fn new(inner: Incoming, mut lease: ConnectionLease) -> Self {
+    fn new(inner: Incoming, mut connection: PooledConnection) -> Self {
         if hyper::body::Body::is_end_stream(&inner) {
-            lease.give_back();
+            connection.return_to_pool();
         }
-        Self { inner, lease }
+        Self { inner, connection }
     }
 }
 
@@ -269,7 +269,7 @@
             _ => false,
         };
         if finished {
-            self.lease.give_back();
+            self.connection.return_to_pool();
         }
         polled
     }
--- a/crates/beamwall-http/src/server.rs
+++ b/crates/beamwall-http/src/server.rs
@@ -15,12 +15,12 @@
 use tokio::sync::watch;
 
 use crate::Body;
-use crate::cause::is_among_causes;
+use crate::cause::has_io_cause;
 
 /// Usual time until the head of a connection's next request has come.
-const HEADER_READ_LIMIT: Duration = Duration::from_secs(10);
+const DEFAULT_REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a failed accept, for example when file descriptors run out.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers requests.
 pub trait Handler: Send + Sync + 'static {
@@ -28,8 +28,8 @@
     fn handle(self: &Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send;
 
     /// How long a connection may take until the head of its next request has come, rest included; asked when it is accepted.
-    fn next_head_limit(&self) -> Duration {
-        HEADER_READ_LIMIT
+    fn request_head_timeout(&self) -> Duration {
+        DEFAULT_REQUEST_HEAD_TIMEOUT
     }
 
     /// Notes that a connection ended by an error. One that rested for too long is not such.
@@ -42,7 +42,7 @@
     /// The caller closed it or broke off.
     Caller,
     /// The answer was broken off here.
-    Own,
+    Local,
     /// Anything else.
     Other,
 }
@@ -52,31 +52,31 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Caller => "caller",
-            Self::Own => "own",
+            Self::Local => "own",
             Self::Other => "other",
         }
     }
 
     /// What an error tells; `None` of a connection that rested for too long.
-    fn of(error: &hyper::Error) -> Option<Self> {
+    fn from_error(error: &hyper::Error) -> Option<Self> {
         if error.is_timeout() {
             return None;
         }
-        let is_callers = error.is_incomplete_message()
+        let is_caused_by_caller = error.is_incomplete_message()
             || error.is_canceled()
             || error.is_closed()
-            || is_among_causes(error, &[ErrorKind::ConnectionReset, ErrorKind::BrokenPipe]);
-        Some(match (is_callers, error.is_user()) {
+            || has_io_cause(error, &[ErrorKind::ConnectionReset, ErrorKind::BrokenPipe]);
+        Some(match (is_caused_by_caller, error.is_user()) {
             (true, _) => Self::Caller,
-            (false, true) => Self::Own,
+            (false, true) => Self::Local,
             (false, false) => Self::Other,
         })
     }
 }
 
-fn note_end<H: Handler>(handler: &H, ended: Result<(), hyper::Error>) {
-    if let Err(error) = ended
-        && let Some(failure) = ConnectionFailure::of(&error)
+fn report_failure<H: Handler>(handler: &H, result: Result<(), hyper::Error>) {
+    if let Err(error) = result
+        && let Some(failure) = ConnectionFailure::from_error(&error)
     {
         handler.connection_failed(failure, &error);
     }
@@ -96,7 +96,7 @@
                 let guard = connections.clone();
                 tokio::spawn(serve_connection(stream, handler.clone(), stop.clone(), guard));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     drop(listener);
@@ -109,23 +109,23 @@
     stream: TcpStream,
     handler: Arc<H>,
     mut stop: watch::Receiver<bool>,
-    _open: Arc<()>,
+    _guard: Arc<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let answering = handler.clone();
+    let service_handler = handler.clone();
     let service = service_fn(move |request| {
-        let handler = answering.clone();
+        let handler = service_handler.clone();
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(handler.next_head_limit())
+        .header_read_timeout(handler.request_head_timeout())
         .half_close(false)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        ended = connection.as_mut() => return note_end(handler.as_ref(), ended),
+        result = connection.as_mut() => return report_failure(handler.as_ref(), result),
         _ = stop.wait_for(|stopped| *stopped) => connection.as_mut().graceful_shutdown(),
     }
-    note_end(handler.as_ref(), connection.await);
+    report_failure(handler.as_ref(), connection.await);
 }
--- a/crates/beamwall-http/tests/pool.rs
+++ b/crates/beamwall-http/tests/pool.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Mutex;
 
 /// Time for which the other side says that it keeps a connection.
-const KEPT_FOR: Duration = Duration::from_secs(4);
+const KEEP_ALIVE: Duration = Duration::from_secs(4);
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
 /// A server that answers any request, and counts connections.
@@ -29,49 +29,51 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let connections = Arc::new(Mutex::new(0));
-        let counted = connections.clone();
+        let connection_count = connections.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                *counted.lock().await += 1;
-                tokio::spawn(answer_all(stream));
+                *connection_count.lock().await += 1;
+                tokio::spawn(respond_to_all(stream));
             }
         });
         Self { address, connections }
     }
 }
 
-async fn answer_all(mut stream: TcpStream) {
-    let answer =
-        format!("HTTP/1.1 200 OK\r\nkeep-alive: timeout={}\r\ncontent-length: 0\r\n\r\n", KEPT_FOR.as_secs());
+async fn respond_to_all(mut stream: TcpStream) {
+    let response = format!(
+        "HTTP/1.1 200 OK\r\nkeep-alive: timeout={}\r\ncontent-length: 0\r\n\r\n",
+        KEEP_ALIVE.as_secs()
+    );
     let mut request = [0; 1_024];
     while stream.read(&mut request).await.is_ok_and(|length| length > 0) {
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-async fn ask(pool: &Pool, address: SocketAddr) {
+async fn send_request(pool: &Pool, address: SocketAddr) {
     let request = Request::get(format!("http://{address}/")).body(full(Vec::new())).expect("a request");
-    let response = pool.send(address, request).await.expect("an answer");
-    response.into_body().collect().await.expect("a whole answer");
+    let response = pool.send(address, request).await.expect("a response");
+    response.into_body().collect().await.expect("a whole response");
 }
 
 #[tokio::test]
-async fn a_connection_that_rested_for_a_moment_is_used_again() {
+async fn a_connection_idle_for_less_than_its_keep_alive_is_reused() {
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
-    ask(&pool, server.address).await;
-    ask(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEPT_FOR / 4);
-    ask(&pool, server.address).await;
+    send_request(&pool, server.address).await;
+    send_request(&pool, server.address).await;
+    beamwall_clock::simulation::suspend_for(KEEP_ALIVE / 4);
+    send_request(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 1);
 }
 
 #[tokio::test]
-async fn a_connection_whose_rest_ended_while_the_machine_slept_is_not_used_again() {
+async fn a_connection_whose_keep_alive_ended_during_suspension_is_not_reused() {
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
-    ask(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEPT_FOR);
-    ask(&pool, server.address).await;
+    send_request(&pool, server.address).await;
+    beamwall_clock::simulation::suspend_for(KEEP_ALIVE);
+    send_request(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 2, "the other side may have closed the first");
 }
--- a/crates/beamwall-model/src/identifiers.rs
+++ b/crates/beamwall-model/src/identifiers.rs
@@ -64,7 +64,7 @@
 );
 impl BackendId {
     /// Identifies the life of `instance` that began at `born_ms`, in milliseconds since 1970, where the back end tells that.
-    pub fn of_life(instance: &InstanceName, born_ms: Option<u64>) -> Self {
+    pub fn for_generation(instance: &InstanceName, born_ms: Option<u64>) -> Self {
         match born_ms {
             None => Self::new(instance.as_str()),
             Some(born_ms) => Self::new(format!("{instance}#{born_ms}")),
@@ -114,15 +114,15 @@
 
     /// The next request identifier.
     pub fn request(&self) -> RequestId {
-        RequestId::new(self.take())
+        RequestId::new(self.next_identifier())
     }
 
     /// The next attempt identifier.
     pub fn attempt(&self) -> AttemptId {
-        AttemptId::new(self.take())
+        AttemptId::new(self.next_identifier())
     }
 
-    fn take(&self) -> String {
+    fn next_identifier(&self) -> String {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number:x}", self.prefix)
     }
--- a/crates/beamwall-store/src/budget.rs
+++ b/crates/beamwall-store/src/budget.rs
@@ -13,15 +13,15 @@
 /// Calls that may be made at once after a quiet time, in seconds of budget.
 const BURST_SECONDS: f64 = 1.0;
 /// Writes a second that a node starts with.
-const FIRST_WRITE_RATE: f64 = 20.0;
+const INITIAL_WRITE_RATE: f64 = 20.0;
 /// Lowest rate of writes.
-const LOWEST_WRITE_RATE: f64 = 0.5;
+const MIN_WRITE_RATE: f64 = 0.5;
 /// Writes that may be made at once after a quiet time.
 const WRITE_BURST: f64 = 10.0;
 /// Added to the rate of writes for each write that the platform took.
-const RAISE_PER_WRITE: f64 = 0.2;
+const WRITE_RATE_INCREASE: f64 = 0.2;
 /// The rate of writes after a refusal, of what it was before.
-const LOWER_TO: f64 = 0.7;
+const WRITE_RATE_DECREASE_FACTOR: f64 = 0.7;
 
 /// Two token buckets: one over all calls of this node, one over its writes.
 ///
@@ -32,30 +32,30 @@
 pub struct CallBudget {
     calls: Mutex<Bucket>,
     writes: Mutex<Bucket>,
-    highest_write_rate: f64,
-    made: AtomicU64,
+    max_write_rate: f64,
+    calls_made: AtomicU64,
 }
 
 #[derive(Debug)]
 struct Bucket {
     rate: f64,
-    least_burst: f64,
+    min_burst: f64,
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl Bucket {
-    fn new(rate: f64, least_burst: f64) -> Self {
-        let tokens = (rate * BURST_SECONDS).max(least_burst);
-        Self { rate, least_burst, tokens, refilled: Instant::now() }
+    fn new(rate: f64, min_burst: f64) -> Self {
+        let tokens = (rate * BURST_SECONDS).max(min_burst);
+        Self { rate, min_burst, tokens, refilled_at: Instant::now() }
     }
 
     /// Takes one token, which may be one of the future; returns how long to wait for it.
-    fn take(&mut self) -> Duration {
+    fn reserve_token(&mut self) -> Duration {
         let now = Instant::now();
-        let refill = now.duration_since(self.refilled).as_secs_f64() * self.rate;
-        self.refilled = now;
-        let burst = (self.rate * BURST_SECONDS).max(self.least_burst);
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.refilled_at = now;
+        let burst = (self.rate * BURST_SECONDS).max(self.min_burst);
         self.tokens = (self.tokens + refill).min(burst) - 1.0;
         Duration::from_secs_f64((-self.tokens / self.rate).max(0.0))
     }
@@ -63,40 +63,44 @@
 
 impl CallBudget {
     /// A budget of `calls_per_second` of this node and at most `highest_writes` writes a second.
-    pub fn new(calls_per_second: u32, highest_writes: u32) -> Self {
-        let highest_write_rate = f64::from(highest_writes.max(1));
-        let first_rate = FIRST_WRITE_RATE.min(highest_write_rate);
+    pub fn new(calls_per_second: u32, max_writes_per_second: u32) -> Self {
+        let max_write_rate = f64::from(max_writes_per_second.max(1));
+        let initial_rate = INITIAL_WRITE_RATE.min(max_write_rate);
         Self {
             calls: Mutex::new(Bucket::new(f64::from(calls_per_second.max(1)), 1.0)),
-            writes: Mutex::new(Bucket::new(first_rate, WRITE_BURST)),
-            highest_write_rate,
-            made: AtomicU64::new(0),
+            writes: Mutex::new(Bucket::new(initial_rate, WRITE_BURST)),
+            max_write_rate,
+            calls_made: AtomicU64::new(0),
         }
     }
 
     /// Notes whether the platform took a write or refused it as over its rate.
-    pub async fn note_write(&self, taken: bool) {
+    pub async fn record_write(&self, is_accepted: bool) {
         let mut writes = self.writes.lock().await;
-        let rate = if taken { writes.rate + RAISE_PER_WRITE } else { writes.rate * LOWER_TO };
-        writes.rate = rate.clamp(LOWEST_WRITE_RATE, self.highest_write_rate);
+        let rate = if is_accepted {
+            writes.rate + WRITE_RATE_INCREASE
+        } else {
+            writes.rate * WRITE_RATE_DECREASE_FACTOR
+        };
+        writes.rate = rate.clamp(MIN_WRITE_RATE, self.max_write_rate);
     }
 
     /// Waits for the right to make one call that does not write.
-    pub async fn take(&self) {
-        let wait = self.calls.lock().await.take();
-        self.made.fetch_add(1, Ordering::Relaxed);
+    pub async fn acquire(&self) {
+        let wait = self.calls.lock().await.reserve_token();
+        self.calls_made.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(wait).await;
     }
 
     /// Waits for the right to make one call that writes.
-    pub async fn take_write(&self) {
-        let wait = self.writes.lock().await.take();
+    pub async fn acquire_write(&self) {
+        let wait = self.writes.lock().await.reserve_token();
         tokio::time::sleep(wait).await;
-        self.take().await;
+        self.acquire().await;
     }
 
     /// Calls made since start.
-    pub fn made(&self) -> u64 {
-        self.made.load(Ordering::Relaxed)
+    pub fn calls_made(&self) -> u64 {
+        self.calls_made.load(Ordering::Relaxed)
     }
 }
--- a/crates/beamwall-store/src/cloud.rs
+++ b/crates/beamwall-store/src/cloud.rs
@@ -129,32 +129,32 @@
 
     /// Waits up to `wait` for notices after `sequence`.
     pub async fn notices(&self, sequence: u64, wait: Duration) -> Result<Vec<Notice>, CloudError> {
-        let client = self.client.clone().with_limit(wait + Duration::from_secs(2));
-        let answer = client.get(&cloud_wire::notices_path(sequence, wait)).await?;
-        Ok(answer.json()?)
+        let client = self.client.clone().with_timeout(wait + Duration::from_secs(2));
+        let response = client.get(&cloud_wire::notices_path(sequence, wait)).await?;
+        Ok(response.json()?)
     }
 
     /// Asks for a machine.
     pub async fn start(&self, request: &MachineRequest) -> Result<Machine, CloudError> {
-        let answer = self.client.post(cloud_wire::MACHINES, request).await?;
-        match answer.status {
-            StatusCode::OK => Ok(answer.json()?),
-            _ => Err(CloudError::Refused(answer.text())),
+        let response = self.client.post(cloud_wire::MACHINES, request).await?;
+        match response.status {
+            StatusCode::OK => Ok(response.json()?),
+            _ => Err(CloudError::Refused(response.text())),
         }
     }
 
     /// Gives a machine back.
     pub async fn stop(&self, machine: &BackendId) -> Result<(), CloudError> {
         let path = cloud_wire::machine_path(machine);
-        let answer = self.client.call(Method::DELETE, &path, Bytes::new()).await?;
-        if answer.status.is_success() { Ok(()) } else { Err(CloudError::Refused(answer.text())) }
+        let response = self.client.call(Method::DELETE, &path, Bytes::new()).await?;
+        if response.status.is_success() { Ok(()) } else { Err(CloudError::Refused(response.text())) }
     }
 
     async fn read<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T, CloudError> {
-        let answer = self.client.get(path).await?;
-        if answer.status != StatusCode::OK {
-            return Err(CloudError::Unavailable(format!("status {}", answer.status)));
+        let response = self.client.get(path).await?;
+        if response.status != StatusCode::OK {
+            return Err(CloudError::Unavailable(format!("status {}", response.status)));
         }
-        Ok(answer.json()?)
+        Ok(response.json()?)
     }
 }
--- a/crates/beamwall-store/src/lease.rs
+++ b/crates/beamwall-store/src/lease.rs
@@ -28,17 +28,17 @@
 /// Time a holder may act after sending a renewal.
 pub const LEASE_TTL: Duration = Duration::from_secs(3);
 /// Longest time for which an order may be in flight after its sender has ended.
-pub const ORDERS_IN_FLIGHT: Duration = Duration::from_secs(2);
+pub const MAX_ORDER_FLIGHT_TIME: Duration = Duration::from_secs(2);
 /// Time a contender waits on an unchanged lease of somebody else.
-pub const TAKEOVER_WAIT: Duration = LEASE_TTL.saturating_add(ORDERS_IN_FLIGHT);
+pub const TAKEOVER_WAIT: Duration = LEASE_TTL.saturating_add(MAX_ORDER_FLIGHT_TIME);
 /// Longest time between renewals.
 const RENEW_PERIOD: Duration = Duration::from_secs(1);
 /// Time between renewals while there is more to keep: counts reach the holder within a heartbeat of 0.5 s.
-const KEEP_PERIOD: Duration = Duration::from_millis(650);
+const CHECKPOINT_PERIOD: Duration = Duration::from_millis(650);
 /// Time between looks at somebody else's lease, which is renewed meanwhile if its holder lives.
-const LOOK_PERIOD: Duration = Duration::from_secs(2);
+const POLL_PERIOD: Duration = Duration::from_secs(2);
 /// Time between looks at whether there is more to keep.
-const CHECK_PERIOD: Duration = Duration::from_millis(50);
+const CHANGE_POLL_PERIOD: Duration = Duration::from_millis(50);
 /// A holder stops this long before its time ends.
 const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
@@ -58,26 +58,26 @@
 /// What the holder of a lease keeps with each renewal, and a successor goes on from.
 pub trait Checkpoint: Send + Sync + 'static {
     /// What to keep now.
-    fn to_keep(&self) -> String;
+    fn saved_state(&self) -> String;
     /// A number that changes when there is more to keep.
-    fn changes(&self) -> u64;
+    fn change_count(&self) -> u64;
     /// Takes over what the last holder kept. This node is about to take the lease, and may still fail to.
-    fn take_over(&self, kept: &str);
+    fn restore(&self, saved: &str);
 }
 
 /// For leases whose holders keep nothing.
-struct NothingKept;
+struct NoCheckpoint;
 
-impl Checkpoint for NothingKept {
-    fn to_keep(&self) -> String {
+impl Checkpoint for NoCheckpoint {
+    fn saved_state(&self) -> String {
         String::new()
     }
 
-    fn changes(&self) -> u64 {
+    fn change_count(&self) -> u64 {
         0
     }
 
-    fn take_over(&self, _: &str) {}
+    fn restore(&self, _: &str) {}
 }
 
 /// What this node knows of a lease.
@@ -106,10 +106,10 @@
     address: Option<SocketAddr>,
     checkpoint: Arc<dyn Checkpoint>,
     /// The changes of the checkpoint that the last write kept.
-    kept_changes: u64,
+    saved_change_count: u64,
     store: Arc<dyn VersionedObjects>,
     state: watch::Sender<LeaseState>,
-    seen: Option<(Version, Moment)>,
+    observed: Option<(Version, Moment)>,
     /// The highest epoch seen: one that was given is never given again, whatever another writer makes of the object.
     highest_epoch: u64,
     /// The version of this node's own last write, which the next renewal names without reading.
@@ -124,11 +124,11 @@
         node: NodeId,
         store: impl VersionedObjects,
     ) -> (Self, watch::Receiver<LeaseState>) {
-        Self::over(name, node, Arc::new(store))
+        Self::with_store(name, node, Arc::new(store))
     }
 
     /// A lease in a store that others use, too.
-    pub fn over(
+    pub fn with_store(
         name: &str,
         node: NodeId,
         store: Arc<dyn VersionedObjects>,
@@ -140,11 +140,11 @@
             key,
             node,
             address: None,
-            checkpoint: Arc::new(NothingKept),
-            kept_changes: 0,
+            checkpoint: Arc::new(NoCheckpoint),
+            saved_change_count: 0,
             store,
             state,
-            seen: None,
+            observed: None,
             highest_epoch: 0,
             held_version: None,
             renewal,
@@ -153,12 +153,12 @@
     }
 
     /// The same lease for a process that listens at an address, which no other process can have at the same time.
-    pub fn at(self, address: SocketAddr) -> Self {
+    pub fn with_address(self, address: SocketAddr) -> Self {
         Self { address: Some(address), ..self }
     }
 
     /// The same lease, under which the holder keeps a checkpoint.
-    pub fn keeping(self, checkpoint: Arc<dyn Checkpoint>) -> Self {
+    pub fn with_checkpoint(self, checkpoint: Arc<dyn Checkpoint>) -> Self {
         Self { checkpoint, ..self }
     }
 
@@ -174,22 +174,22 @@
     pub async fn pause(&self) {
         let since = Instant::now();
         if self.current_epoch(Moment::now()).is_none() {
-            return tokio::time::sleep(self.time_to_look()).await;
+            return tokio::time::sleep(self.poll_delay()).await;
         }
-        tokio::time::sleep(KEEP_PERIOD).await;
-        while since.elapsed() < RENEW_PERIOD && self.checkpoint.changes() == self.kept_changes {
-            tokio::time::sleep(CHECK_PERIOD).await;
+        tokio::time::sleep(CHECKPOINT_PERIOD).await;
+        while since.elapsed() < RENEW_PERIOD && self.checkpoint.change_count() == self.saved_change_count {
+            tokio::time::sleep(CHANGE_POLL_PERIOD).await;
         }
     }
 
     /// Time until somebody else's lease is looked at again: by then it was renewed, or may be taken.
-    fn time_to_look(&self) -> Duration {
-        let Some((_, since)) = self.seen else { return RENEW_PERIOD };
-        let waited = since.elapsed();
-        let waits = [ORDERS_IN_FLIGHT, TAKEOVER_WAIT];
-        let ends =
-            waits.into_iter().filter_map(|wait| wait.checked_sub(waited)).filter(|left| !left.is_zero());
-        ends.chain([LOOK_PERIOD]).min().unwrap_or(LOOK_PERIOD)
+    fn poll_delay(&self) -> Duration {
+        let Some((_, since)) = self.observed else { return RENEW_PERIOD };
+        let unchanged = since.elapsed();
+        let waits = [MAX_ORDER_FLIGHT_TIME, TAKEOVER_WAIT];
+        let remaining_waits =
+            waits.into_iter().filter_map(|wait| wait.checked_sub(unchanged)).filter(|left| !left.is_zero());
+        remaining_waits.chain([POLL_PERIOD]).min().unwrap_or(POLL_PERIOD)
     }
 
     /// One look and, when due, one write.
@@ -207,10 +207,10 @@
         if self.is_holder(&record) {
             return self.write(object.version, record.epoch, sent).await;
         }
-        self.note_other(&object, &record);
+        self.observe_record(&object, &record);
         if self.unchanged_for() >= self.takeover_wait(&record) {
             let epoch = self.highest_epoch + 1;
-            self.checkpoint.take_over(&record.checkpoint);
+            self.checkpoint.restore(&record.checkpoint);
             return self.write(object.version, epoch, Moment::now()).await;
         }
         Ok(())
@@ -234,13 +234,13 @@
     /// Time for which a lease must be unchanged until this node may take it.
     fn takeover_wait(&self, record: &LeaseRecord) -> Duration {
         let is_own = record.holder == self.node.as_str() && record.address == self.address;
-        if is_own { ORDERS_IN_FLIGHT } else { TAKEOVER_WAIT }
+        if is_own { MAX_ORDER_FLIGHT_TIME } else { TAKEOVER_WAIT }
     }
 
-    fn note_other(&mut self, object: &Object, record: &LeaseRecord) {
+    fn observe_record(&mut self, object: &Object, record: &LeaseRecord) {
         self.highest_epoch = self.highest_epoch.max(record.epoch);
-        if self.seen.is_none_or(|(version, _)| version != object.version) {
-            self.seen = Some((object.version, Moment::now()));
+        if self.observed.is_none_or(|(version, _)| version != object.version) {
+            self.observed = Some((object.version, Moment::now()));
         }
         let state = LeaseState { holder: record.holder.clone(), epoch: record.epoch, valid_until: None };
         self.state.send_if_modified(|current| {
@@ -251,30 +251,36 @@
     }
 
     fn unchanged_for(&self) -> Duration {
-        self.seen.map_or(Duration::ZERO, |(_, since)| since.elapsed())
+        self.observed.map_or(Duration::ZERO, |(_, since)| since.elapsed())
     }
 
     async fn write(&mut self, expected: Version, epoch: u64, sent: Moment) -> Result<(), ObjectError> {
         self.renewal += 1;
-        let changes = self.checkpoint.changes();
+        let change_count = self.checkpoint.change_count();
         let record = LeaseRecord {
             holder: self.node.to_string(),
             epoch,
             renewal: self.renewal,
             address: self.address,
-            checkpoint: self.checkpoint.to_keep(),
+            checkpoint: self.checkpoint.saved_state(),
         };
         let value =
             serde_json::to_vec(&record).map_err(|error| ObjectError::Unexpected(error.to_string()))?;
-        let mine = |object: &Object| object.value.as_ref() == value.as_slice();
+        let is_own_write = |object: &Object| object.value.as_ref() == value.as_slice();
         let deadline = Instant::now() + LEASE_TTL.saturating_sub(sent.elapsed());
-        let settled =
-            put_settled(self.store.as_ref(), &self.key, expected, Bytes::from(value.clone()), deadline, mine)
-                .await;
-        if let Some(version) = settled.ok().and_then(Settled::version_of_whole) {
+        let settled = put_settled(
+            self.store.as_ref(),
+            &self.key,
+            expected,
+            Bytes::from(value.clone()),
+            deadline,
+            is_own_write,
+        )
+        .await;
+        if let Some(version) = settled.ok().and_then(Settled::written_version) {
             self.highest_epoch = self.highest_epoch.max(epoch);
-            self.seen = None;
-            self.kept_changes = changes;
+            self.observed = None;
+            self.saved_change_count = change_count;
             self.held_version = Some(version);
             let valid_until = Some(sent + LEASE_TTL);
             self.state.send_replace(LeaseState { holder: record.holder, epoch, valid_until });
--- a/crates/beamwall-store/src/object.rs
+++ b/crates/beamwall-store/src/object.rs
@@ -33,11 +33,11 @@
         }
         /// The call was sent and its answer lost: a write may have taken effect.
         Ambiguous(reason: String) {
-            display("answer from the platform was lost: {}", reason)
+            display("response from the platform was lost: {}", reason)
         }
         /// The platform answered in a way this client does not know.
         Unexpected(reason: String) {
-            display("unexpected answer from the platform: {}", reason)
+            display("unexpected response from the platform: {}", reason)
         }
     }
 }
@@ -65,7 +65,7 @@
 
 /// What a watch saw.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Pass this to the next watch.
     pub sequence: u64,
     /// Keys that changed.
@@ -118,37 +118,37 @@
 
     /// Reads an object; `None` when it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Object>, ObjectError> {
-        let answer =
+        let response =
             self.call(&self.client, Method::GET, &object_wire::object_path(key), Bytes::new()).await?;
-        match answer.status {
+        match response.status {
             StatusCode::NOT_FOUND => Ok(None),
-            StatusCode::OK => object_wire::read_object(key, &answer.body).map(Some),
-            _ => Err(object_wire::read_failure(&answer)),
+            StatusCode::OK => object_wire::read_object(key, &response.body).map(Some),
+            _ => Err(object_wire::read_error(&response)),
         }
     }
 
     /// Writes an object if it has the version named; [`ABSENT`] creates it.
     pub async fn put(&self, key: &str, expected: Version, value: Bytes) -> Result<Version, ObjectError> {
         let path = object_wire::conditional_path(key, expected);
-        let answer = self.call(&self.client, Method::PUT, &path, value).await?;
-        object_wire::read_version(&answer)
+        let response = self.call(&self.client, Method::PUT, &path, value).await?;
+        object_wire::read_version(&response)
     }
 
     /// Deletes an object if it has the version named.
     pub async fn delete(&self, key: &str, expected: Version) -> Result<(), ObjectError> {
         let path = object_wire::conditional_path(key, expected);
-        let answer = self.call(&self.client, Method::DELETE, &path, Bytes::new()).await?;
-        object_wire::read_version(&answer).map(|_| ())
+        let response = self.call(&self.client, Method::DELETE, &path, Bytes::new()).await?;
+        object_wire::read_version(&response).map(|_| ())
     }
 
     /// Reads all objects whose key starts with `prefix`.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Object>, ObjectError> {
-        let answer =
+        let response =
             self.call(&self.client, Method::GET, &object_wire::list_path(prefix), Bytes::new()).await?;
-        if answer.status != StatusCode::OK {
-            return Err(object_wire::read_failure(&answer));
+        if response.status != StatusCode::OK {
+            return Err(object_wire::read_error(&response));
         }
-        object_wire::read_list(&answer.body)
+        object_wire::read_list(&response.body)
     }
 
     /// Waits up to `wait` for a change after `sequence` to keys that start with `prefix`.
@@ -157,14 +157,14 @@
         prefix: &str,
         sequence: u64,
         wait: Duration,
-    ) -> Result<WatchAnswer, ObjectError> {
+    ) -> Result<WatchResponse, ObjectError> {
         let path = object_wire::watch_path(prefix, sequence, wait);
-        let client = self.client.clone().with_limit(wait + Duration::from_secs(2));
-        let answer = self.call(&client, Method::GET, &path, Bytes::new()).await?;
-        if answer.status != StatusCode::OK {
-            return Err(object_wire::read_failure(&answer));
+        let client = self.client.clone().with_timeout(wait + Duration::from_secs(2));
+        let response = self.call(&client, Method::GET, &path, Bytes::new()).await?;
+        if response.status != StatusCode::OK {
+            return Err(object_wire::read_error(&response));
         }
-        object_wire::read_watch(&answer.body)
+        object_wire::read_watch(&response.body)
     }
 
     async fn call(
@@ -173,21 +173,22 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<beamwall_http::client::Answer, ObjectError> {
+    ) -> Result<beamwall_http::client::ClientResponse, ObjectError> {
         let is_write = method != Method::GET;
         if is_write {
-            self.budget.take_write().await;
+            self.budget.acquire_write().await;
         } else {
-            self.budget.take().await;
+            self.budget.acquire().await;
         }
         let result = client.call(method, path, body).await;
-        if let Ok(answer) = &result
+        if let Ok(response) = &result
             && is_write
         {
-            self.budget.note_write(answer.status != StatusCode::TOO_MANY_REQUESTS).await;
+            self.budget.record_write(response.status != StatusCode::TOO_MANY_REQUESTS).await;
         }
-        let answered = matches!(&result, Ok(answer) if answer.status != StatusCode::SERVICE_UNAVAILABLE);
-        self.healthy.store(answered, Ordering::Relaxed);
+        let is_available =
+            matches!(&result, Ok(response) if response.status != StatusCode::SERVICE_UNAVAILABLE);
+        self.healthy.store(is_available, Ordering::Relaxed);
         Ok(result?)
     }
 }
--- a/crates/beamwall-store/src/object_wire.rs
+++ b/crates/beamwall-store/src/object_wire.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use beamwall_http::client::Answer;
+use beamwall_http::client::ClientResponse;
 use bytes::Bytes;
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::object::{Object, ObjectError, Version, WatchAnswer};
+use crate::object::{Object, ObjectError, Version, WatchResponse};
 
 /// An object in an answer. Values are UTF-8 text.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -56,51 +56,51 @@
     format!("/watch?prefix={prefix}&after={sequence}&wait-ms={}", wait.as_millis())
 }
 
-fn unreadable(error: impl std::fmt::Display) -> ObjectError {
+fn parse_error(error: impl std::fmt::Display) -> ObjectError {
     ObjectError::Unexpected(error.to_string())
 }
 
 /// Reads an object from the answer to a GET.
 pub fn read_object(key: &str, body: &Bytes) -> Result<Object, ObjectError> {
-    let wire: WireObject = serde_json::from_slice(body).map_err(unreadable)?;
+    let wire: WireObject = serde_json::from_slice(body).map_err(parse_error)?;
     Ok(Object { key: key.to_owned(), version: wire.version, value: Bytes::from(wire.value) })
 }
 
 /// Reads a listing.
 pub fn read_list(body: &Bytes) -> Result<Vec<Object>, ObjectError> {
-    let wire: Vec<WireObject> = serde_json::from_slice(body).map_err(unreadable)?;
+    let wire: Vec<WireObject> = serde_json::from_slice(body).map_err(parse_error)?;
     let object =
         |item: WireObject| Object { key: item.key, version: item.version, value: Bytes::from(item.value) };
     Ok(wire.into_iter().map(object).collect())
 }
 
 /// Reads the answer to a watch.
-pub fn read_watch(body: &Bytes) -> Result<WatchAnswer, ObjectError> {
-    let wire: WireWatch = serde_json::from_slice(body).map_err(unreadable)?;
-    Ok(WatchAnswer { sequence: wire.sequence, changed: wire.changed })
+pub fn read_watch(body: &Bytes) -> Result<WatchResponse, ObjectError> {
+    let wire: WireWatch = serde_json::from_slice(body).map_err(parse_error)?;
+    Ok(WatchResponse { sequence: wire.sequence, changed: wire.changed })
 }
 
 /// Reads the answer to a conditional write.
-pub fn read_version(answer: &Answer) -> Result<Version, ObjectError> {
-    match answer.status {
+pub fn read_version(response: &ClientResponse) -> Result<Version, ObjectError> {
+    match response.status {
         StatusCode::OK => {
-            let wire: WireVersion = serde_json::from_slice(&answer.body).map_err(unreadable)?;
+            let wire: WireVersion = serde_json::from_slice(&response.body).map_err(parse_error)?;
             Ok(wire.version)
         }
         StatusCode::CONFLICT => {
-            let wire: WireVersion = serde_json::from_slice(&answer.body).map_err(unreadable)?;
+            let wire: WireVersion = serde_json::from_slice(&response.body).map_err(parse_error)?;
             Err(ObjectError::Conflict(wire.version))
         }
-        _ => Err(read_failure(answer)),
+        _ => Err(read_error(response)),
     }
 }
 
 /// Reads a refusal.
-pub fn read_failure(answer: &Answer) -> ObjectError {
-    match answer.status {
+pub fn read_error(response: &ClientResponse) -> ObjectError {
+    match response.status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            ObjectError::Unavailable(format!("status {}", answer.status))
+            ObjectError::Unavailable(format!("status {}", response.status))
         }
-        _ => ObjectError::Unexpected(format!("status {}: {}", answer.status, answer.text())),
+        _ => ObjectError::Unexpected(format!("status {}: {}", response.status, response.text())),
     }
 }
--- a/crates/beamwall-store/src/settle.rs
+++ b/crates/beamwall-store/src/settle.rs
@@ -14,7 +14,7 @@
 use crate::object::{Object, ObjectError, Version, VersionedObjects};
 
 /// Pause between tries while the platform does not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The result of a settled write.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 impl Settled {
     /// The version of a write that took effect, for writers whose `is_mine` compares the whole value.
-    pub fn version_of_whole(self) -> Option<Version> {
+    pub fn written_version(self) -> Option<Version> {
         match self {
             Self::Written(version) => Some(version),
             Self::Found(object) => Some(object.version),
@@ -63,7 +63,7 @@
     expected: Version,
     value: Bytes,
     deadline: Instant,
-    is_mine: F,
+    is_own_write: F,
 ) -> Result<Settled, SettleError>
 where
     F: Fn(&Object) -> bool,
@@ -76,17 +76,17 @@
             Err(error) => error,
         };
         may_have_written |= !matches!(failure, ObjectError::Unavailable(_));
-        if may_have_written && let Some(settled) = read_back(store, key, expected, &is_mine).await {
+        if may_have_written && let Some(settled) = read_back(store, key, expected, &is_own_write).await {
             return Ok(settled);
         }
-        if Instant::now() + RETRY_PAUSE >= deadline {
+        if Instant::now() + RETRY_DELAY >= deadline {
             return Err(if may_have_written {
                 SettleError::Undecided(failure)
             } else {
                 SettleError::NotWritten(failure)
             });
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -94,13 +94,13 @@
     store: &dyn VersionedObjects,
     key: &str,
     expected: Version,
-    is_mine: &F,
+    is_own_write: &F,
 ) -> Option<Settled>
 where
     F: Fn(&Object) -> bool,
 {
     match store.get(key).await {
-        Ok(Some(object)) if is_mine(&object) => Some(Settled::Found(object)),
+        Ok(Some(object)) if is_own_write(&object) => Some(Settled::Found(object)),
         Ok(Some(object)) if object.version != expected => Some(Settled::Lost),
         _ => None,
     }
--- a/crates/beamwall-store/tests/lease.rs
+++ b/crates/beamwall-store/tests/lease.rs
@@ -7,10 +7,10 @@
 use beamwall_lab::Running;
 use beamwall_lab::object_store::{ObjectFaults, ObjectRates, ObjectStandIn};
 use beamwall_lab::running::loopback;
-use beamwall_store::lease::{LEASE_TTL, ORDERS_IN_FLIGHT, TAKEOVER_WAIT};
+use beamwall_store::lease::{LEASE_TTL, MAX_ORDER_FLIGHT_TIME, TAKEOVER_WAIT};
 use beamwall_store::{CallBudget, Checkpoint, Lease, LeaseState, ObjectStore};
 
-async fn platform() -> (Arc<ObjectStandIn>, Running) {
+async fn start_platform() -> (Arc<ObjectStandIn>, Running) {
     let stand_in = ObjectStandIn::new(ObjectRates::default());
     let running = Running::start(loopback(), stand_in.clone()).await.expect("it starts");
     (stand_in, running)
@@ -22,8 +22,8 @@
 }
 
 #[tokio::test]
-async fn one_contender_holds_and_the_other_sees_it() {
-    let (_stand_in, running) = platform().await;
+async fn one_contender_acquires_the_lease_and_the_other_observes_it() {
+    let (_stand_in, running) = start_platform().await;
     let (mut first, first_state) = Lease::new("duty", "one".into(), store(&running));
     let (mut second, second_state) = Lease::new("duty", "two".into(), store(&running));
     first.step().await.expect("platform answers");
@@ -34,22 +34,22 @@
 }
 
 #[tokio::test]
-async fn a_holder_that_was_paused_finds_its_time_over_before_the_successor_acts() {
-    let (_stand_in, running) = platform().await;
+async fn the_lease_of_a_paused_holder_expires_before_the_successor_acts() {
+    let (_stand_in, running) = start_platform().await;
     let (mut first, first_state) = Lease::new("duty", "one".into(), store(&running));
     let (mut second, second_state) = Lease::new("duty", "two".into(), store(&running));
     first.step().await.expect("platform answers");
     // The first is paused: it takes no step. The second looks at the lease until it may take it.
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     while second_state.borrow().held_epoch().is_none() {
         second.step().await.expect("platform answers");
         if second_state.borrow().held_epoch().is_some() {
             assert_eq!(first_state.borrow().held_epoch(), None, "two may act at once");
         }
-        assert!(begun.elapsed() < TAKEOVER_WAIT * 3);
+        assert!(started.elapsed() < TAKEOVER_WAIT * 3);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(begun.elapsed() > LEASE_TTL);
+    assert!(started.elapsed() > LEASE_TTL);
     assert_eq!(second_state.borrow().held_epoch(), Some(2));
     first.step().await.expect("platform answers");
     assert_eq!(first_state.borrow().held_epoch(), None);
@@ -57,18 +57,18 @@
 }
 
 #[tokio::test]
-async fn a_restarted_holder_of_the_same_name_waits_for_its_own_old_lease() {
-    let (_stand_in, running) = platform().await;
+async fn a_restarted_holder_waits_for_its_previous_lease() {
+    let (_stand_in, running) = start_platform().await;
     let (mut first, _) = Lease::new("duty", "one".into(), store(&running));
     first.step().await.expect("platform answers");
     let (mut restarted, state) = Lease::new("duty", "one".into(), store(&running));
     restarted.step().await.expect("platform answers");
-    assert_eq!(state.borrow().held_epoch(), None, "orders of the earlier life may be in flight");
+    assert_eq!(state.borrow().held_epoch(), None, "orders of the earlier generation may be in flight");
 }
 
 #[tokio::test]
-async fn a_renewal_whose_answer_is_lost_keeps_the_lease() {
-    let (stand_in, running) = platform().await;
+async fn a_renewal_whose_response_is_lost_keeps_the_lease() {
+    let (stand_in, running) = start_platform().await;
     let (mut lease, state) = Lease::new("duty", "one".into(), store(&running));
     for _ in 0..5 {
         stand_in.set_faults(ObjectFaults { lose_write_answers: 1, ..ObjectFaults::default() });
@@ -78,8 +78,8 @@
 }
 
 #[tokio::test]
-async fn a_holder_that_was_suspended_holds_nothing_when_it_wakes() {
-    let (_stand_in, running) = platform().await;
+async fn the_lease_of_a_holder_expires_during_suspension() {
+    let (_stand_in, running) = start_platform().await;
     let (mut first, first_state) = Lease::new("duty", "one".into(), store(&running));
     first.step().await.expect("platform answers");
     assert_eq!(first_state.borrow().held_epoch(), Some(1));
@@ -92,7 +92,7 @@
 }
 
 /// Time for which a node runs between two losses of power, in steps of a contender.
-const STEPS_OF_A_LIFE: u32 = 4;
+const STEPS_PER_GENERATION: u32 = 4;
 /// Time between two steps of a contender.
 const STEP: Duration = Duration::from_secs(1);
 
@@ -102,54 +102,54 @@
 /// stands waited as long as any other, 3 s of it for the end of a term that its own earlier life can't use any more. Proof: the
 /// lives below, of four steps each, never held the lease.
 #[tokio::test]
-async fn a_holder_that_loses_power_every_few_seconds_holds_its_duty_in_each_life() {
-    let (_stand_in, running) = platform().await;
+async fn a_holder_restarted_every_few_seconds_acquires_the_lease_in_each_generation() {
+    let (_stand_in, running) = start_platform().await;
     let (mut first, first_state) = Lease::new("duty", "one".into(), store(&running));
     first.step().await.expect("platform answers");
     let mut epoch = first_state.borrow().held_epoch().expect("it holds");
     drop(first);
-    for life in 0..3 {
+    for generation in 0..3 {
         let (mut lease, state) = Lease::new("duty", "one".into(), store(&running));
         let mut held = None;
-        for _ in 0..STEPS_OF_A_LIFE {
+        for _ in 0..STEPS_PER_GENERATION {
             lease.step().await.expect("platform answers");
             held = held.or(state.borrow().held_epoch());
             beamwall_clock::simulation::suspend_for(STEP);
         }
-        let held = held.unwrap_or_else(|| panic!("life {life} held nothing"));
-        assert!(held > epoch, "a new epoch in each life");
+        let held = held.unwrap_or_else(|| panic!("generation {generation} held nothing"));
+        assert!(held > epoch, "a new epoch in each generation");
         epoch = held;
     }
 }
 
 /// What one process keeps under its lease and was given.
 #[derive(Default)]
-struct Kept {
+struct TestCheckpoint {
     text: std::sync::Mutex<String>,
-    taken: std::sync::Mutex<Option<String>>,
+    restored: std::sync::Mutex<Option<String>>,
 }
 
-impl Kept {
-    fn of(text: &str) -> Arc<Self> {
+impl TestCheckpoint {
+    fn with_text(text: &str) -> Arc<Self> {
         Arc::new(Self { text: std::sync::Mutex::new(text.to_owned()), ..Self::default() })
     }
 
-    fn taken(&self) -> Option<String> {
-        self.taken.lock().expect("no panic").clone()
+    fn restored(&self) -> Option<String> {
+        self.restored.lock().expect("no panic").clone()
     }
 }
 
-impl Checkpoint for Kept {
-    fn to_keep(&self) -> String {
+impl Checkpoint for TestCheckpoint {
+    fn saved_state(&self) -> String {
         self.text.lock().expect("no panic").clone()
     }
 
-    fn changes(&self) -> u64 {
-        self.to_keep().len() as u64
+    fn change_count(&self) -> u64 {
+        self.saved_state().len() as u64
     }
 
-    fn take_over(&self, kept: &str) {
-        *self.taken.lock().expect("no panic") = Some(kept.to_owned());
+    fn restore(&self, saved: &str) {
+        *self.restored.lock().expect("no panic") = Some(saved.to_owned());
     }
 }
 
@@ -167,53 +167,55 @@
 
 /// Guards against duties that begin anew with each holder: who takes a lease is given what was kept with its last renewal.
 #[tokio::test]
-async fn a_successor_goes_on_from_what_was_kept_with_the_last_renewal() {
-    let (_stand_in, running) = platform().await;
+async fn a_successor_restores_the_checkpoint_of_the_last_renewal() {
+    let (_stand_in, running) = start_platform().await;
     let (first, _) = Lease::new("duty", "one".into(), store(&running));
     let (second, state) = Lease::new("duty", "two".into(), store(&running));
-    let (of_first, of_second) = (Kept::of("early"), Kept::of("of the second"));
-    let (mut first, mut second) = (first.keeping(of_first.clone()), second.keeping(of_second.clone()));
+    let (first_checkpoint, second_checkpoint) =
+        (TestCheckpoint::with_text("early"), TestCheckpoint::with_text("of the second"));
+    let (mut first, mut second) =
+        (first.with_checkpoint(first_checkpoint.clone()), second.with_checkpoint(second_checkpoint.clone()));
     first.step().await.expect("platform answers");
     second.step().await.expect("platform answers");
-    "late".clone_into(&mut of_first.text.lock().expect("no panic"));
+    "late".clone_into(&mut first_checkpoint.text.lock().expect("no panic"));
     first.step().await.expect("platform answers");
-    assert_eq!(of_second.taken(), None, "it is another's");
+    assert_eq!(second_checkpoint.restored(), None, "it is another's");
     steps_until_held(&mut second, &state).await;
-    assert_eq!(of_second.taken().as_deref(), Some("late"));
+    assert_eq!(second_checkpoint.restored().as_deref(), Some("late"));
 }
 
 /// Guards against two machines of one name that act at once: only where the address is the same has the earlier life ended.
 #[tokio::test]
-async fn a_machine_of_the_same_name_at_another_address_waits_as_any_other() {
-    let (_stand_in, running) = platform().await;
-    let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
+async fn a_node_of_the_same_name_at_another_address_waits_the_full_takeover_time() {
+    let (_stand_in, running) = start_platform().await;
+    let loopback_port = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let (first, first_state) = Lease::new("duty", "one".into(), store(&running));
-    let mut first = first.at(at(7_001));
+    let mut first = first.with_address(loopback_port(7_001));
     first.step().await.expect("platform answers");
     let (other, state) = Lease::new("duty", "one".into(), store(&running));
-    let mut other = other.at(at(7_002));
+    let mut other = other.with_address(loopback_port(7_002));
     other.step().await.expect("platform answers");
     let waited = steps_until_held(&mut other, &state).await;
     assert!(waited >= TAKEOVER_WAIT, "{waited:?}");
     assert_eq!(first_state.borrow().held_epoch(), None, "its term is over by then");
-    let (again, state) = Lease::new("duty", "one".into(), store(&running));
-    let mut again = again.at(at(7_002));
-    again.step().await.expect("platform answers");
-    let waited = steps_until_held(&mut again, &state).await;
-    assert!((ORDERS_IN_FLIGHT..TAKEOVER_WAIT).contains(&waited), "{waited:?}");
+    let (restarted, state) = Lease::new("duty", "one".into(), store(&running));
+    let mut restarted = restarted.with_address(loopback_port(7_002));
+    restarted.step().await.expect("platform answers");
+    let waited = steps_until_held(&mut restarted, &state).await;
+    assert!((MAX_ORDER_FLIGHT_TIME..TAKEOVER_WAIT).contains(&waited), "{waited:?}");
 }
 
 /// An order of an earlier life may be carried out for two seconds after its end; the next life has a higher epoch by then.
 #[tokio::test]
-async fn lives_under_one_name_hold_rising_epochs_and_wait_for_orders_in_flight() {
-    let (_stand_in, running) = platform().await;
+async fn restarts_under_one_name_get_rising_epochs_and_wait_for_orders_in_flight() {
+    let (_stand_in, running) = start_platform().await;
     let mut last = 0;
     for _ in 0..3 {
         let (mut lease, state) = Lease::new("duty", "one".into(), store(&running));
         lease.step().await.expect("platform answers");
         if last > 0 {
             let waited = steps_until_held(&mut lease, &state).await;
-            assert!(waited >= ORDERS_IN_FLIGHT, "{waited:?}");
+            assert!(waited >= MAX_ORDER_FLIGHT_TIME, "{waited:?}");
         }
         let epoch = state.borrow().held_epoch().expect("it holds");
         assert!(epoch > last, "{epoch} after {last}");
