--- a/crates/beamwall-ctl/src/client.rs
+++ b/crates/beamwall-ctl/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beamwall_config::Edit;
-use beamwall_http::client::Answer;
+use beamwall_http::client::ClientResponse;
 use beamwall_http::{JsonClient, Pool};
 use bytes::Bytes;
 use hyper::Method;
@@ -31,7 +31,7 @@
     pub documents: std::collections::BTreeMap<String, String>,
 }
 
-fn checked(answer: Answer) -> Result<Answer, CommandError> {
+fn checked(answer: ClientResponse) -> Result<ClientResponse, CommandError> {
     if answer.status.is_success() {
         Ok(answer)
     } else {
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -85,7 +85,7 @@
     }
 
     /// The operator's limits: callers reuse what has rested for nearly as long.
-    fn next_head_limit(&self) -> Duration {
+    fn request_head_timeout(&self) -> Duration {
         let policy = self.gateway.policy.load();
         let limits = &policy.policy().caller_limits;
         Duration::from_millis(limits.idle_ms.max(limits.head_ms))
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -208,7 +208,7 @@
     let instance = "b1".into();
     let address = ([127, 0, 0, 2], 9_000 + born_ms as u16).into();
     Backend {
-        id: BackendId::of_life(&instance, Some(born_ms)),
+        id: BackendId::for_generation(&instance, Some(born_ms)),
         born_ms: Some(born_ms),
         address,
         ..backend(1, false)
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -80,7 +80,7 @@
 
 /// A life of an engine that began at `born_ms`.
 pub fn life(instance: &str, born_ms: u64) -> Backend {
-    let id = BackendId::of_life(&instance.into(), Some(born_ms));
+    let id = BackendId::for_generation(&instance.into(), Some(born_ms));
     Backend { id, born_ms: Some(born_ms), ..backend(instance) }
 }
 
--- a/crates/beamwall-node/src/gateway/directory_wire.rs
+++ b/crates/beamwall-node/src/gateway/directory_wire.rs
@@ -149,7 +149,7 @@
     let backend = |told: JsonBackend| {
         let instance = InstanceName::new(&told.id);
         Backend {
-            id: BackendId::of_life(&instance, None),
+            id: BackendId::for_generation(&instance, None),
             instance,
             born_ms: None,
             service: ServiceName::new(&told.service),
@@ -195,7 +195,7 @@
     let address = listed.address.parse().map_err(|_| DirectoryWireError::Address(listed.instance.clone()))?;
     let instance = InstanceName::new(&listed.instance);
     Ok(Backend {
-        id: BackendId::of_life(&instance, listed.born_ms),
+        id: BackendId::for_generation(&instance, listed.born_ms),
         instance,
         born_ms: listed.born_ms,
         service: services.get(listed.service as usize).cloned().ok_or_else(no_name)?,
--- a/crates/beamwall-node/src/gateway/duties/kept.rs
+++ b/crates/beamwall-node/src/gateway/duties/kept.rs
@@ -115,7 +115,7 @@
 }
 
 impl Checkpoint for KeptDuties {
-    fn to_keep(&self) -> String {
+    fn saved_state(&self) -> String {
         let text = compressed::encode(&self.checkpoint()).map(hex::encode);
         match text {
             Ok(text) if text.len() <= CHECKPOINT_LIMIT_BYTES => text,
@@ -130,11 +130,11 @@
         }
     }
 
-    fn changes(&self) -> u64 {
+    fn change_count(&self) -> u64 {
         self.gateway.forwarder.usage.changes()
     }
 
-    fn take_over(&self, kept: &str) {
+    fn restore(&self, kept: &str) {
         // A holder of an earlier build keeps nothing, and may have ordered otherwise than this node once did.
         if kept.is_empty() {
             return self.forget_orders();
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -142,8 +142,8 @@
 
     /// Contends for the lease and does what is due while holding it, until the task is ended.
     pub async fn run(mut self) {
-        let (lease, state) = Lease::over(LEASE_NAME, self.node.clone(), self.objects.clone());
-        let lease = lease.at(self.address).keeping(self.kept.clone());
+        let (lease, state) = Lease::with_store(LEASE_NAME, self.node.clone(), self.objects.clone());
+        let lease = lease.with_address(self.address).with_checkpoint(self.kept.clone());
         let _contending = AbortOnDrop(tokio::spawn(contend(lease, state.clone(), self.chooser.clone())));
         let mut tenure: Option<Tenure> = None;
         loop {
--- a/crates/beamwall-node/src/tasks/control/machines.rs
+++ b/crates/beamwall-node/src/tasks/control/machines.rs
@@ -99,7 +99,7 @@
         let deadline = Instant::now() + shared.control_limit();
         let written =
             put_settled(&shared.store, &key(shared), version, value.clone().into(), deadline, mine).await;
-        if let Some(version) = written.ok().and_then(Settled::version_of_whole) {
+        if let Some(version) = written.ok().and_then(Settled::written_version) {
             self.record = Some((version, next));
             return true;
         }
--- a/crates/beamwall-node/src/tasks/control/mod.rs
+++ b/crates/beamwall-node/src/tasks/control/mod.rs
@@ -71,7 +71,7 @@
 
 fn contend(shared: &Shared, name: &str) -> (JoinHandle<()>, watch::Receiver<LeaseState>) {
     let (lease, state) = Lease::new(name, shared.settings.node.clone(), shared.store.clone());
-    let lease = lease.at(shared.settings.peers);
+    let lease = lease.with_address(shared.settings.peers);
     lock(&shared.leases).insert(name.to_owned(), state.clone());
     (tokio::spawn(lease.run()), state)
 }
--- a/crates/beamwall-node/src/tasks/control/orders.rs
+++ b/crates/beamwall-node/src/tasks/control/orders.rs
@@ -99,5 +99,5 @@
     let version = found.map_or(ABSENT, |object| object.version);
     let deadline = Instant::now() + shared.control_limit();
     let written = put_settled(&shared.store, &key, version, value.clone().into(), deadline, mine).await;
-    written.ok().and_then(Settled::version_of_whole).is_some()
+    written.ok().and_then(Settled::written_version).is_some()
 }
--- a/crates/beamwall-node/src/tasks/upkeep.rs
+++ b/crates/beamwall-node/src/tasks/upkeep.rs
@@ -46,7 +46,7 @@
     metrics.revision.set(shared.tree.load().revision as i64);
     metrics.members_alive.set(gauge(alive));
     metrics.backends_usable.set(gauge(usable));
-    metrics.platform_calls.set(shared.store.budget().made() as i64);
+    metrics.platform_calls.set(shared.store.budget().calls_made() as i64);
     metrics.platform_healthy.set(shared.store.healthy().into());
     metrics.peer_bytes_sent.set(read(&traffic.sent_bytes));
     metrics.peer_messages_dropped.set(read(&traffic.dropped_messages));
--- a/crates/beamwall-node/tests/earlier_builds.rs
+++ b/crates/beamwall-node/tests/earlier_builds.rs
@@ -191,7 +191,7 @@
     let name = InstanceName::new(instance);
     let is_first = instance == "i-3";
     Backend {
-        id: BackendId::of_life(&name, born_ms),
+        id: BackendId::for_generation(&name, born_ms),
         instance: name,
         born_ms,
         service: ServiceName::new(if is_first { "pool" } else { "app" }),
--- a/crates/beamwall-request/src/async_record.rs
+++ b/crates/beamwall-request/src/async_record.rs
@@ -134,7 +134,7 @@
         let settled =
             put_settled(&self.store, &key(&record.request), version, Bytes::from(value), deadline, mine)
                 .await?;
-        settled.version_of_whole().ok_or(RecordError::Lost)
+        settled.written_version().ok_or(RecordError::Lost)
     }
 
     /// Reads a record with its version.
