--- a/crates/beamwall-http/src/body.rs
+++ b/crates/beamwall-http/src/body.rs
@@ -14,25 +14,25 @@
 /// The error type of streamed bodies.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body type of every response the servers give.
+/// The body type of all server responses and client requests.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Of a refused body, at most this many times the limit is read and dropped.
+/// At most this many times the size limit is read and discarded of a rejected body.
 const DISCARD_FACTOR: usize = 4;
 
 quick_error! {
     /// Why a body could not be read.
     #[derive(Debug)]
     pub enum ReadError {
-        /// The body is longer than allowed.
+        /// The body exceeds the size limit.
         TooLarge(limit_bytes: usize) {
             display("body is larger than {} bytes", limit_bytes)
         }
-        /// The sender did not finish in time.
+        /// The body was not complete within the time limit.
         TooSlow(time_limit: Duration) {
             display("body was not received within {} ms", time_limit.as_millis())
         }
-        /// The connection failed or the framing was broken.
+        /// The connection failed or the message framing was invalid.
         Broken(reason: String) {
             display("body could not be read: {}", reason)
         }
@@ -43,7 +43,7 @@
     match error {}
 }
 
-/// A body of known bytes.
+/// A body of known length.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
@@ -53,7 +53,7 @@
     Empty::new().map_err(never).boxed_unsync()
 }
 
-/// A JSON response.
+/// A response with `value` as its JSON body.
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
@@ -62,7 +62,7 @@
     response
 }
 
-/// Reads a whole body, refusing one that is too large or too slow.
+/// Reads a whole body within a size limit and a time limit.
 pub async fn read_limited<B>(body: B, limit_bytes: usize, time_limit: Duration) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
@@ -71,7 +71,7 @@
     read_limited_with(body, limit_bytes, time_limit, |_| {}).await
 }
 
-/// The same, and shows each part of the body as it comes.
+/// Reads a whole body like [`read_limited`] and passes each chunk to `on_chunk` as it arrives.
 pub async fn read_limited_with<B>(
     body: B,
     limit_bytes: usize,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Reads on past a refused body for a while: a sender that is cut off while it sends does not get to
-/// read why it was refused.
+/// Reads and discards the rest of a rejected body, up to a limit: a sender whose connection is closed while
+/// it still sends cannot read the response that states the reason.
 async fn discard<B>(body: &mut B, limit_bytes: usize)
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
--- a/crates/beamwall-http/src/cause.rs
+++ b/crates/beamwall-http/src/cause.rs
@@ -1,9 +1,9 @@
-//! Why a connection ended, as the system told it.
+//! Inspection of the I/O errors behind a connection error.
 
 use std::error::Error;
 use std::io;
 
-/// Whether an input or output error of one of these kinds is among the causes of a failure.
+/// Whether the source chain of an error contains an I/O error of one of these kinds.
 pub(crate) fn has_io_cause(error: &hyper::Error, kinds: &[io::ErrorKind]) -> bool {
     let mut cause = error.source();
     while let Some(inner) = cause {
--- a/crates/beamwall-http/src/channel.rs
+++ b/crates/beamwall-http/src/channel.rs
@@ -1,4 +1,4 @@
-//! A response body that one task writes while the connection's task sends.
+//! A response body that is produced by one task while the task of the connection sends it.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,24 +10,25 @@
 
 use crate::body::{Body, BodyError};
 
-/// The writing half. Dropping it ends the body as complete; [`BodySender::abort`] ends it as
-/// broken, so that the receiver cannot take a cut answer for a whole one.
+/// The sending half of a streamed body. Dropping it completes the body; [`BodySender::abort`] ends it
+/// with an error, so that the receiver cannot mistake a truncated response for a complete one.
 #[derive(Debug)]
 pub struct BodySender {
     sender: mpsc::Sender<Result<Bytes, BodyError>>,
 }
 
-/// The receiver went away: the caller disconnected.
+/// The caller disconnected before the body was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Disconnected;
 
 impl BodySender {
-    /// Sends one piece; waits while the caller reads slowly.
+    /// Sends one chunk; waits while the channel is full, which limits the sender to the caller's reading
+    /// speed.
     pub async fn send(&self, bytes: Bytes) -> Result<(), Disconnected> {
         self.sender.send(Ok(bytes)).await.map_err(|_| Disconnected)
     }
 
-    /// Ends the body as broken.
+    /// Ends the body with an error.
     pub async fn abort(self, reason: &str) {
         let _ = self.sender.send(Err(reason.into())).await;
     }
@@ -54,7 +55,7 @@
     }
 }
 
-/// A body and its writing half; `capacity` pieces wait at most.
+/// Creates a streamed body and its sender; at most `capacity` chunks are buffered.
 pub fn channel(capacity: usize) -> (BodySender, Body) {
     let (sender, receiver) = mpsc::channel(capacity);
     (BodySender { sender }, ChannelBody { receiver }.boxed_unsync())
--- a/crates/beamwall-http/src/client.rs
+++ b/crates/beamwall-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A small JSON client over the pool, for control calls between processes.
+//! A JSON client on top of the connection pool, for control calls between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,30 +13,30 @@
 use crate::body::{ReadError, full, read_limited};
 use crate::pool::{Pool, PoolError};
 
-/// Largest answer to a control call.
+/// Maximum size of the response body of a control call.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 quick_error! {
     /// Why a control call failed.
     #[derive(Debug)]
     pub enum ClientError {
-        /// The request did not get an answer.
+        /// No response was received.
         Transport(cause: PoolError) {
             from()
             display("{}", cause)
             source(cause)
         }
-        /// The answer could not be read.
+        /// The response body could not be read.
         ResponseBody(cause: ReadError) {
             from()
             display("{}", cause)
             source(cause)
         }
-        /// The answer did not come in time; the call may have taken effect.
+        /// The response did not arrive in time; the call may have taken effect.
         TimedOut(call_timeout: Duration) {
             display("no answer within {} ms", call_timeout.as_millis())
         }
-        /// The call could not be formed.
+        /// The request could not be built, or a JSON body could not be encoded or decoded.
         Malformed(reason: String) {
             display("malformed call: {}", reason)
         }
@@ -44,7 +44,7 @@
 }
 
 impl ClientError {
-    /// Whether it is certain that the other side received nothing.
+    /// Whether it is certain that the server received nothing of the call.
     pub fn nothing_sent(&self) -> bool {
         match self {
             Self::Transport(cause) => cause.nothing_sent(),
@@ -54,28 +54,28 @@
     }
 }
 
-/// An answer to a control call.
+/// The response to a control call.
 #[derive(Debug, Clone)]
 pub struct ClientResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The whole body.
     pub body: Bytes,
 }
 
 impl ClientResponse {
-    /// Reads the body as JSON.
+    /// Deserializes the body from JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ClientError> {
         serde_json::from_slice(&self.body).map_err(|error| ClientError::Malformed(error.to_string()))
     }
 
-    /// The body as text, for messages.
+    /// The body as text, for use in messages.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Calls one address.
+/// Client for control calls to one address.
 #[derive(Clone)]
 pub struct JsonClient {
     pool: Pool,
@@ -85,45 +85,45 @@
 }
 
 impl JsonClient {
-    /// A client of `address` whose calls end after `limit`.
+    /// Creates a client of `address` whose calls time out after `call_timeout`.
     pub fn new(pool: Pool, address: SocketAddr, call_timeout: Duration) -> Self {
         Self { pool, address, call_timeout, bearer: None }
     }
 
-    /// Sends `key` as bearer key with every call.
+    /// Sends `key` as bearer token with every call.
     pub fn with_bearer(mut self, key: impl Into<String>) -> Self {
         self.bearer = Some(key.into());
         self
     }
 
-    /// The same client with another time limit.
+    /// The same client with another timeout.
     pub fn with_timeout(mut self, call_timeout: Duration) -> Self {
         self.call_timeout = call_timeout;
         self
     }
 
-    /// The address called.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// GET.
+    /// Sends a GET request.
     pub async fn get(&self, path: &str) -> Result<ClientResponse, ClientError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// POST of a JSON value.
+    /// Sends a POST request with `value` as its JSON body.
     pub async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<ClientResponse, ClientError> {
         let body = serde_json::to_vec(value).map_err(|error| ClientError::Malformed(error.to_string()))?;
         self.call(Method::POST, path, Bytes::from(body)).await
     }
 
-    /// Any call.
+    /// Sends a request of any method.
     pub async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<ClientResponse, ClientError> {
         self.call_with(method, path, HeaderMap::new(), body).await
     }
 
-    /// Any call with headers beside the usual.
+    /// Sends a request of any method with additional headers.
     pub async fn call_with(
         &self,
         method: Method,
--- a/crates/beamwall-http/src/lib.rs
+++ b/crates/beamwall-http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on hyper: one server loop and one client connection pool.
+//! HTTP/1.1 on hyper: a server loop and a client connection pool.
 //!
-//! Both sides of every process use this package, so limits on headers and bodies and the rule
-//! that a connection with an unread answer is never reused stand in one place.
+//! All servers and clients of the system use this package, so that the limits on headers and bodies and the
+//! rule that a connection with an unread response is never reused are implemented in one place.
 
 pub mod body;
 mod cause;
--- a/crates/beamwall-http/src/pool.rs
+++ b/crates/beamwall-http/src/pool.rs
@@ -1,8 +1,8 @@
-//! Client connections, kept for reuse by address.
+//! Pool of client connections, kept for reuse by address.
 //!
-//! Two rules that a general pool does not give us: a request that was never written is told apart
-//! from one that may have been received, and a connection whose answer was not read to its end is
-//! closed and never reused, so a late answer cannot reach another request.
+//! It gives two guarantees that general connection pools lack. A request that was never written is
+//! distinguished from one that may have been received. A connection whose response was not read to the end
+//! is closed and never reused, so that a late response cannot be taken for the response to another request.
 
 use std::collections::HashMap;
 use std::io;
@@ -27,11 +27,11 @@
 
 /// Idle connections kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
-/// Time that sent bytes may stay unacknowledged before the connection counts as broken.
+/// TCP_USER_TIMEOUT: time for which sent bytes may stay unacknowledged before the connection is closed.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rest after which a connection is not used again where the other side says nothing of it.
+/// Assumed keep-alive timeout of a server that sends no `keep-alive` header.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(60);
-/// A connection is given up this long before the other side may close it.
+/// An idle connection is dropped this long before the server may close it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 quick_error! {
@@ -42,7 +42,7 @@
         Connect(address: SocketAddr, reason: String) {
             display("no connection to {}: {}", address, reason)
         }
-        /// The other side refused the connection, as where no process listens: nothing was sent.
+        /// The connection was refused, for example because no process listens: nothing was sent.
         Refused(address: SocketAddr) {
             display("no connection to {}: refused", address)
         }
@@ -50,11 +50,11 @@
         NotWritten(address: SocketAddr) {
             display("connection to {} closed before the request was written", address)
         }
-        /// The request may have been received; its answer was lost.
+        /// The request may have been received; its response was lost.
         Lost(address: SocketAddr, reason: String) {
             display("answer from {} was lost: {}", address, reason)
         }
-        /// The other side reset the connection after the request was sent.
+        /// The peer reset the connection after the request was sent.
         Reset(address: SocketAddr) {
             display("answer from {} was lost: the connection was reset", address)
         }
@@ -62,35 +62,35 @@
 }
 
 impl PoolError {
-    /// Whether it is certain that the other side received nothing.
+    /// Whether it is certain that the server received nothing of the request.
     pub fn nothing_sent(&self) -> bool {
         !matches!(self, Self::Lost(..) | Self::Reset(..))
     }
 }
 
-/// Whether a process takes connections.
+/// Whether a process accepts connections at an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It does.
+    /// A connection was opened.
     Accepts,
-    /// The machine answers, and no process listens.
+    /// The machine refused the connection: no process listens.
     Refuses,
-    /// Nothing answers.
+    /// No connection could be opened for another reason, such as a timeout.
     Silent,
 }
 
 type Sender = SendRequest<Body>;
 
-/// A connection at rest.
+/// An idle connection.
 struct IdleConnection {
     sender: Sender,
-    /// Until when the other side promises to keep it open, also while this machine is suspended.
+    /// Until when the server keeps the connection open. The time includes suspensions of this machine.
     usable_until: Moment,
 }
 
 type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// Connections to back ends, peers and the platform.
+/// Pool of connections to back ends, peers and the platform. Clones share the idle connections.
 #[derive(Clone)]
 pub struct Pool {
     idle: IdleConnections,
@@ -102,13 +102,13 @@
 }
 
 impl Pool {
-    /// A pool that gives up opening a connection after `connect_limit`.
+    /// Creates a pool that stops trying to open a connection after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         Self { idle: Arc::default(), connect_timeout }
     }
 
-    /// Sends one request once. A reused connection that turns out closed before anything was
-    /// written is replaced by a new one; nothing is ever sent twice.
+    /// Sends a request at most once. A reused connection that proves to be closed before anything was
+    /// written is replaced by another one; a request that may have been written is never sent again.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -138,7 +138,7 @@
         None
     }
 
-    /// Looks whether a process takes connections at an address.
+    /// Opens a connection to find out whether a process accepts connections at `address`.
     pub async fn probe(&self, address: SocketAddr) -> Reachability {
         match self.connect_tcp(address).await {
             Ok(_) => Reachability::Accepts,
@@ -197,7 +197,7 @@
     }
 }
 
-/// The failure of a request that was sent.
+/// The error of a request that was sent and got no response.
 fn lost_response(address: SocketAddr, error: &hyper::Error) -> PoolError {
     if has_io_cause(error, &[io::ErrorKind::ConnectionReset]) {
         return PoolError::Reset(address);
@@ -205,7 +205,7 @@
     PoolError::Lost(address, error.to_string())
 }
 
-/// A borrowed connection. It returns to the pool only when told so; otherwise it closes.
+/// A connection taken from the pool. It is closed when dropped, unless it was returned to the pool before.
 struct PooledConnection {
     idle: IdleConnections,
     address: SocketAddr,
@@ -213,7 +213,7 @@
     idle_timeout: Duration,
 }
 
-/// How long a connection may rest: a little less than the other side says that it keeps it.
+/// How long a connection may stay idle: a little less than the keep-alive timeout sent by the server.
 fn idle_timeout(headers: &HeaderMap) -> Duration {
     let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let timeout = keep_alive.and_then(|text| {
@@ -238,8 +238,8 @@
     }
 }
 
-/// A response body that returns its connection to the pool when read to the end, and closes the
-/// connection when dropped earlier.
+/// A response body that returns its connection to the pool once it is read to the end, and closes the
+/// connection if it is dropped earlier.
 pub struct PooledBody {
     inner: Incoming,
     connection: PooledConnection,
--- a/crates/beamwall-http/src/server.rs
+++ b/crates/beamwall-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop: one task for each connection.
+//! The server's accept loop; each connection is served by its own task.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,38 +17,39 @@
 use crate::Body;
 use crate::cause::has_io_cause;
 
-/// Usual time until the head of a connection's next request has come.
+/// Default of [`Handler::request_head_timeout`].
 const DEFAULT_REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a failed accept, for example when file descriptors run out.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers requests.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; failures are answers too.
+    /// Handles one request. Failures are returned as responses, too.
     fn handle(self: &Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send;
 
-    /// How long a connection may take until the head of its next request has come, rest included; asked when it is accepted.
+    /// Time within which the head of a connection's next request must be received, idle time included. It is
+    /// read once for each connection, when the connection is accepted.
     fn request_head_timeout(&self) -> Duration {
         DEFAULT_REQUEST_HEAD_TIMEOUT
     }
 
-    /// Notes that a connection ended by an error. One that rested for too long is not such.
+    /// Called when a connection ends with an error. An idle timeout is not an error.
     fn connection_failed(&self, _failure: ConnectionFailure, _error: &hyper::Error) {}
 }
 
-/// Why a connection ended by an error.
+/// Which side caused a connection to end with an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// The caller closed it or broke off.
+    /// The caller closed or reset the connection.
     Caller,
-    /// The answer was broken off here.
+    /// This server aborted the response.
     Local,
-    /// Anything else.
+    /// Any other error.
     Other,
 }
 
 impl ConnectionFailure {
-    /// The word used in logs and metrics.
+    /// The name used in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Caller => "caller",
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What an error tells; `None` of a connection that rested for too long.
+    /// Classifies an error; `None` for a connection that timed out while it was idle.
     fn from_error(error: &hyper::Error) -> Option<Self> {
         if error.is_timeout() {
             return None;
@@ -82,8 +83,8 @@
     }
 }
 
-/// Accepts connections until `stop` turns true. Open connections then finish the request they
-/// carry and close; the function returns when all have closed.
+/// Accepts connections until `stop` becomes true. Open connections then complete their current request and
+/// close; the function returns once all of them are closed.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Arc<H>, mut stop: watch::Receiver<bool>) {
     let connections = Arc::new(());
     loop {
--- a/crates/beamwall-http/tests/pool.rs
+++ b/crates/beamwall-http/tests/pool.rs
@@ -1,7 +1,8 @@
-//! Pooled connections: one whose rest is over is not used again, also where the machine slept meanwhile.
+//! Pooled connections are not reused after their keep-alive timeout, also when the machine was suspended.
 //!
-//! The load: a machine is suspended for seconds, while the other side closes connections that it has kept for long enough. A request
-//! that is sent on such a connection may be lost, and a request that may run once can't be repeated then.
+//! Guards against lost requests: while a machine is suspended for seconds, the server closes connections
+//! whose keep-alive timeout has ended. A request sent on such a connection may be lost, and a request that
+//! may run only once cannot be repeated then.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +15,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Mutex;
 
-/// Time for which the other side says that it keeps a connection.
+/// Keep-alive timeout sent by the server.
 const KEEP_ALIVE: Duration = Duration::from_secs(4);
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// A server that answers any request, and counts connections.
+/// A server that responds to any request and counts its connections.
 struct Server {
     address: SocketAddr,
     connections: Arc<Mutex<usize>>,
@@ -75,5 +76,5 @@
     send_request(&pool, server.address).await;
     beamwall_clock::simulation::suspend_for(KEEP_ALIVE);
     send_request(&pool, server.address).await;
-    assert_eq!(*server.connections.lock().await, 2, "the other side may have closed the first");
+    assert_eq!(*server.connections.lock().await, 2, "the server may have closed the first connection");
 }
--- a/crates/beamwall-model/src/class.rs
+++ b/crates/beamwall-model/src/class.rs
@@ -1,4 +1,4 @@
-//! Service classes: how urgently a caller needs the answer.
+//! Service classes: how urgently a caller needs the response.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// Raised when a text names no service class.
+    /// Error of parsing a service class.
     #[derive(Debug, PartialEq, Eq)]
     pub enum ClassError {
-        /// The text is not one of the three class names.
+        /// The text is none of the three class names.
         Unknown(text: String) {
             display("unknown service class {:?}: allowed are interactive, standard, batch", text)
         }
     }
 }
 
-/// How urgently a caller needs the answer. The order is from most to least urgent.
+/// How urgently a caller needs the response. The order is from most to least urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceClass {
     /// A person waits for the first token.
     Interactive,
-    /// A person or a process waits for the whole answer.
+    /// A person or a process waits for the complete response.
     Standard,
-    /// Nobody waits; the work has hours to finish.
+    /// Nobody waits; the work may take hours.
     Batch,
 }
 
--- a/crates/beamwall-model/src/identifiers.rs
+++ b/crates/beamwall-model/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Typed names. Each wraps a shared string, so cloning is cheap.
+//! Typed identifiers. Each wraps a shared string, so cloning is cheap.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name.
+            /// Creates an identifier from its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// The name as text.
+            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -51,19 +51,20 @@
 }
 
 name_type!(
-    /// An entry node of the deployment.
+    /// An entry node or a gateway of the deployment.
     NodeId
 );
 name_type!(
-    /// One life of a model engine or an application back end.
+    /// One generation (process run) of a model engine or an application back end.
     BackendId
 );
 name_type!(
-    /// The name by which a back end is listed and answers. One that starts again may keep it.
+    /// The name under which a back end is listed and responds. A restarted back end may keep its name.
     InstanceName
 );
 impl BackendId {
-    /// Identifies the life of `instance` that began at `born_ms`, in milliseconds since 1970, where the back end tells that.
+    /// Identifies the generation of `instance` that started at `born_ms`, in milliseconds since 1970, or the
+    /// instance alone if its back end does not report a start time.
     pub fn for_generation(instance: &InstanceName, born_ms: Option<u64>) -> Self {
         match born_ms {
             None => Self::new(instance.as_str()),
@@ -93,12 +94,12 @@
     RequestId
 );
 name_type!(
-    /// One try of a request at one back end; unique over nodes and restarts.
+    /// One attempt to run a request at one back end; unique across nodes and restarts.
     AttemptId
 );
 
-/// Hands out request and attempt identifiers that are unique over nodes and restarts: the node's
-/// name, a random number drawn at start, and a counter.
+/// Generates request and attempt identifiers that are unique across nodes and restarts. They consist of the
+/// name of the node, a random number generated at start, and a counter.
 #[derive(Debug)]
 pub struct IdentifierSource {
     prefix: String,
@@ -106,18 +107,18 @@
 }
 
 impl IdentifierSource {
-    /// Starts a source for one life of one node.
+    /// Creates a source for one process run of a node.
     pub fn new(node: &NodeId) -> Self {
         let start: u32 = rand::random();
         Self { prefix: format!("{node}-{start:08x}"), next: AtomicU64::new(1) }
     }
 
-    /// The next request identifier.
+    /// Generates a request identifier.
     pub fn request(&self) -> RequestId {
         RequestId::new(self.next_identifier())
     }
 
-    /// The next attempt identifier.
+    /// Generates an attempt identifier.
     pub fn attempt(&self) -> AttemptId {
         AttemptId::new(self.next_identifier())
     }
--- a/crates/beamwall-model/src/lib.rs
+++ b/crates/beamwall-model/src/lib.rs
@@ -1,8 +1,8 @@
 //! Identifiers, units, service classes and outcomes shared by every package.
 //!
-//! This is the innermost package: it performs no input or output and depends on no other
-//! package of the workspace. Every aggregate elsewhere is built from these types, so that a
-//! tenant name can never be passed where an engine name is expected.
+//! This is the innermost package: it performs no I/O and depends on no other package of the workspace. Other
+//! packages use its identifier types instead of strings, so that a tenant name can never be passed where an
+//! engine name is expected.
 
 pub mod class;
 pub mod identifiers;
--- a/crates/beamwall-model/src/outcome.rs
+++ b/crates/beamwall-model/src/outcome.rs
@@ -1,16 +1,16 @@
-//! The final outcome of a request, as told to the caller.
+//! The final outcome of a request, as reported to the caller.
 
 use std::fmt;
 
-/// What is known of a request when its answer ends.
+/// What is known about the execution of a request when its response ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The whole answer was received from a back end.
+    /// The complete response was received from a back end.
     Completed,
-    /// The request ran nowhere: no byte of it reached a back end, or the back end refused it in a
-    /// way that its contract says precedes running.
+    /// The request was not executed: no byte of it reached a back end, or the back end rejected it in a way
+    /// that its contract defines as before execution.
     NotRun,
-    /// A back end may or may not have run the request.
+    /// A back end may or may not have executed the request.
     Unknown,
     /// A stream ended early and can be continued at another node.
     Interrupted,
--- a/crates/beamwall-model/tests/rendezvous.rs
+++ b/crates/beamwall-model/tests/rendezvous.rs
@@ -2,7 +2,7 @@
 
 use beamwall_model::rendezvous::choose_weighted;
 
-/// How often `name` is the first choice over many keys.
+/// The fraction of many keys for which `name` is the first choice.
 fn first_choice_rate(candidates: &[(&str, f64)], name: &str) -> f64 {
     const KEYS: u32 = 4_000;
     let is_first = |key: &u32| choose_weighted(&key.to_be_bytes(), candidates, 1) == [name];
--- a/crates/beamwall-store/src/budget.rs
+++ b/crates/beamwall-store/src/budget.rs
@@ -1,8 +1,8 @@
-//! The calls a node may make to the platform each second.
+//! Rate limit of the calls of a node to the platform.
 //!
-//! The platform counts every call, a waiting watch as one, and its rates grow more slowly than
-//! the fleet, so each node keeps to a share. A caller over the budget waits its turn; group
-//! commit then makes the batches larger instead of the calls more.
+//! The platform counts every call (a waiting watch counts as one), and its limits grow more slowly than the
+//! fleet, so each node is limited to a share. A task over the budget waits until a call is allowed; meanwhile
+//! group commit collects larger batches instead of making more calls.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-/// Calls that may be made at once after a quiet time, in seconds of budget.
+/// Burst capacity of the buckets, in seconds of their rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Writes a second that a node starts with.
+/// Initial rate of writes of a node, per second.
 const INITIAL_WRITE_RATE: f64 = 20.0;
-/// Lowest rate of writes.
+/// Lower bound of the rate of writes, per second.
 const MIN_WRITE_RATE: f64 = 0.5;
-/// Writes that may be made at once after a quiet time.
+/// Minimum burst capacity of the bucket of writes.
 const WRITE_BURST: f64 = 10.0;
-/// Added to the rate of writes for each write that the platform took.
+/// Added to the rate of writes for each write that the platform accepted.
 const WRITE_RATE_INCREASE: f64 = 0.2;
-/// The rate of writes after a refusal, of what it was before.
+/// Factor by which the rate of writes is multiplied when the platform rejects a write.
 const WRITE_RATE_DECREASE_FACTOR: f64 = 0.7;
 
-/// Two token buckets: one over all calls of this node, one over its writes.
+/// Two token buckets: one for all calls of this node, and one for its writes.
 ///
-/// The platform's limit on writes holds for the deployment, and only the platform sees all of them.
-/// A node raises its rate a little with each write that was taken and lowers it at each refusal, so
-/// that the nodes which write share the limit and the others keep none of it.
+/// The platform's limit on writes applies to the whole deployment, and only the platform sees all writes. A
+/// node increases its rate additively with each accepted write and decreases it multiplicatively with each
+/// rejected one (AIMD), so that the nodes that write share the limit and idle nodes reserve none of it.
 #[derive(Debug)]
 pub struct CallBudget {
     calls: Mutex<Bucket>,
@@ -50,7 +50,7 @@
         Self { rate, min_burst, tokens, refilled_at: Instant::now() }
     }
 
-    /// Takes one token, which may be one of the future; returns how long to wait for it.
+    /// Takes one token, possibly in advance of its refill; returns how long to wait until it is available.
     fn reserve_token(&mut self) -> Duration {
         let now = Instant::now();
         let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
@@ -62,7 +62,7 @@
 }
 
 impl CallBudget {
-    /// A budget of `calls_per_second` of this node and at most `highest_writes` writes a second.
+    /// Creates a budget of `calls_per_second` for this node, at most `max_writes_per_second` of them writes.
     pub fn new(calls_per_second: u32, max_writes_per_second: u32) -> Self {
         let max_write_rate = f64::from(max_writes_per_second.max(1));
         let initial_rate = INITIAL_WRITE_RATE.min(max_write_rate);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Notes whether the platform took a write or refused it as over its rate.
+    /// Records whether the platform accepted a write or rejected it because of its rate limit.
     pub async fn record_write(&self, is_accepted: bool) {
         let mut writes = self.writes.lock().await;
         let rate = if is_accepted {
@@ -85,21 +85,21 @@
         writes.rate = rate.clamp(MIN_WRITE_RATE, self.max_write_rate);
     }
 
-    /// Waits for the right to make one call that does not write.
+    /// Waits until one call that does not write is allowed.
     pub async fn acquire(&self) {
         let wait = self.calls.lock().await.reserve_token();
         self.calls_made.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(wait).await;
     }
 
-    /// Waits for the right to make one call that writes.
+    /// Waits until one write is allowed.
     pub async fn acquire_write(&self) {
         let wait = self.writes.lock().await.reserve_token();
         tokio::time::sleep(wait).await;
         self.acquire().await;
     }
 
-    /// Calls made since start.
+    /// Number of calls made since the start of the process.
     pub fn calls_made(&self) -> u64 {
         self.calls_made.load(Ordering::Relaxed)
     }
--- a/crates/beamwall-store/src/cloud.rs
+++ b/crates/beamwall-store/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud API port: machines, their prices and notices that machines are taken back.
+//! Client of the cloud API: machines, their prices and notices that machines are reclaimed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,11 +16,11 @@
     /// Why a call to the cloud API failed.
     #[derive(Debug)]
     pub enum CloudError {
-        /// The cloud has no such machine to give now.
+        /// The cloud rejected the request, for example because no such machine is available.
         Refused(reason: String) {
             display("cloud refused: {}", reason)
         }
-        /// The cloud could not be reached or its answer not read.
+        /// The cloud could not be reached, or its response could not be read.
         Unavailable(reason: String) {
             display("cloud unavailable: {}", reason)
         }
@@ -33,15 +33,15 @@
     }
 }
 
-/// Where a machine is in its life.
+/// State in the life cycle of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Asked for; not yet serving.
+    /// Requested, and not serving yet.
     Starting,
-    /// Serving.
+    /// Serving requests.
     Running,
-    /// To be taken back.
+    /// About to be reclaimed.
     Leaving,
 }
 
@@ -50,58 +50,58 @@
 pub struct Machine {
     /// Name of the machine and of the back end on it.
     pub id: BackendId,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: ZoneName,
     /// Machine class, for example `large`.
     pub class: String,
-    /// Whether the cloud may take it back on short notice.
+    /// Whether the cloud may reclaim the machine on short notice.
     pub reclaimable: bool,
-    /// Price in millionths of the currency an hour.
+    /// Price per hour, in millionths of the currency unit.
     pub price_micros_per_hour: u64,
     /// Where the back end listens.
     pub address: SocketAddr,
-    /// The service it runs.
+    /// The service that the back end belongs to.
     pub service: ServiceName,
-    /// Where it is in its life.
+    /// State in the life cycle.
     pub state: MachineState,
 }
 
-/// A notice that a machine is taken back.
+/// A notice that a machine is about to be reclaimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Rising number of the notice.
+    /// Sequence number of the notice, increasing.
     pub sequence: u64,
-    /// The machine.
+    /// The machine to be reclaimed.
     pub machine: BackendId,
     /// Milliseconds from the notice until the machine stops.
     pub deadline_ms: u64,
 }
 
-/// What to ask the cloud for.
+/// A request for a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRequest {
-    /// Identifier of the request: the same one asked for twice gives one machine.
+    /// Idempotency key: requests with the same key yield one machine.
     pub request: String,
     /// The zone.
     pub zone: ZoneName,
     /// The machine class.
     pub class: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine on short notice.
     pub reclaimable: bool,
-    /// The service it will run.
+    /// The service that the machine will run.
     pub service: ServiceName,
 }
 
-/// An offer: a machine class in a zone with its price.
+/// The price of a machine class in a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// The zone.
     pub zone: ZoneName,
     /// The machine class.
     pub class: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine on short notice.
     pub reclaimable: bool,
-    /// Price in millionths of the currency an hour.
+    /// Price per hour, in millionths of the currency unit.
     pub price_micros_per_hour: u64,
 }
 
@@ -112,29 +112,29 @@
 }
 
 impl CloudClient {
-    /// A client of one address.
+    /// Creates a client that calls the cloud API through `client`.
     pub fn new(client: JsonClient) -> Self {
         Self { client }
     }
 
-    /// The list of live and leaving machines. It lags.
+    /// Lists all machines, those about to be reclaimed included. The list may be out of date.
     pub async fn machines(&self) -> Result<Vec<Machine>, CloudError> {
         self.read(cloud_wire::MACHINES).await
     }
 
-    /// Prices now.
+    /// The current prices.
     pub async fn offers(&self) -> Result<Vec<Offer>, CloudError> {
         self.read(cloud_wire::OFFERS).await
     }
 
-    /// Waits up to `wait` for notices after `sequence`.
+    /// Waits up to `wait` for notices with a sequence number above `sequence`.
     pub async fn notices(&self, sequence: u64, wait: Duration) -> Result<Vec<Notice>, CloudError> {
         let client = self.client.clone().with_timeout(wait + Duration::from_secs(2));
         let response = client.get(&cloud_wire::notices_path(sequence, wait)).await?;
         Ok(response.json()?)
     }
 
-    /// Asks for a machine.
+    /// Requests a machine.
     pub async fn start(&self, request: &MachineRequest) -> Result<Machine, CloudError> {
         let response = self.client.post(cloud_wire::MACHINES, request).await?;
         match response.status {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Gives a machine back.
+    /// Releases a machine.
     pub async fn stop(&self, machine: &BackendId) -> Result<(), CloudError> {
         let path = cloud_wire::machine_path(machine);
         let response = self.client.call(Method::DELETE, &path, Bytes::new()).await?;
--- a/crates/beamwall-store/src/cloud_wire.rs
+++ b/crates/beamwall-store/src/cloud_wire.rs
@@ -1,14 +1,14 @@
-//! Wire format of the cloud API: paths. Bodies are the JSON form of the port's types.
+//! Wire format of the cloud API: paths. Bodies are the JSON representation of the types in [`crate::cloud`].
 
 use std::time::Duration;
 
 use beamwall_model::BackendId;
 
-/// Machines: GET lists, POST asks for one.
+/// Path of the machines: GET lists them, POST requests one.
 pub const MACHINES: &str = "/cloud/machines";
-/// Prices by zone and class.
+/// Path of the prices by zone and machine class.
 pub const OFFERS: &str = "/cloud/offers";
-/// Notices.
+/// Path of the notices that machines are reclaimed.
 pub const NOTICES: &str = "/cloud/notices";
 
 /// Path of one machine.
@@ -16,7 +16,7 @@
     format!("{MACHINES}/{machine}")
 }
 
-/// Path that waits for notices.
+/// Path of a long poll for notices.
 pub fn notices_path(sequence: u64, wait: Duration) -> String {
     format!("{NOTICES}?after={sequence}&wait-ms={}", wait.as_millis())
 }
--- a/crates/beamwall-store/src/lease.rs
+++ b/crates/beamwall-store/src/lease.rs
@@ -1,15 +1,17 @@
-//! Leases on control duties, with a rising epoch.
+//! Leases on control duties, with an increasing epoch.
 //!
-//! No wall clock is compared between machines. The holder counts its time from the moment it sent
-//! the last renewal that succeeded; a contender counts from the moment it first saw the current
-//! version and waits longer than the holder may count on. A holder that was paused, or whose machine was
-//! suspended, finds its own time over before it acts.
+//! No wall clocks are compared between machines. The holder measures its term from the time at which it sent
+//! the last successful renewal. A contender measures from the time at which it first observed the current
+//! version, and waits longer than the term of the holder. A holder that was paused, or whose machine was
+//! suspended, detects that its term has expired before it acts.
 //!
-//! A process that finds the lease under its own name and address follows an earlier life of its own, which has ended: it
-//! holds the address. Nobody can act in that life's term any more, so only its orders in flight are waited for. Without, a
-//! holder that loses power every few seconds would never hold the lease again, since each life begins its wait anew.
+//! If a process finds the lease held under its own name and address, the holder was an earlier process of the
+//! same node, and it has ended, since this process now listens at the address. No process can act under that
+//! term any more, so this process waits only for orders in flight. With the full wait, a holder that loses
+//! power every few seconds would never acquire the lease again, since each restart begins the wait anew.
 //!
-//! With each renewal the holder keeps a checkpoint of what it does under the lease. Whoever takes the lease next goes on from there.
+//! With each renewal the holder stores a checkpoint of its work under the lease. The next holder continues
+//! from this checkpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,21 +27,22 @@
 use crate::object::{ABSENT, Object, ObjectError, Version, VersionedObjects};
 use crate::settle::{Settled, put_settled};
 
-/// Time a holder may act after sending a renewal.
+/// Term of a lease: time for which a holder may act after it sent a successful renewal.
 pub const LEASE_TTL: Duration = Duration::from_secs(3);
-/// Longest time for which an order may be in flight after its sender has ended.
+/// Maximum time for which an order may be in flight after the process that sent it has ended.
 pub const MAX_ORDER_FLIGHT_TIME: Duration = Duration::from_secs(2);
-/// Time a contender waits on an unchanged lease of somebody else.
+/// Time for which the lease of another node must be unchanged before a contender acquires it.
 pub const TAKEOVER_WAIT: Duration = LEASE_TTL.saturating_add(MAX_ORDER_FLIGHT_TIME);
-/// Longest time between renewals.
+/// Maximum time between renewals.
 const RENEW_PERIOD: Duration = Duration::from_secs(1);
-/// Time between renewals while there is more to keep: counts reach the holder within a heartbeat of 0.5 s.
+/// Time between renewals while the checkpoint changes. It is a little longer than the heartbeat period of
+/// 0.5 s, within which counts reach the holder.
 const CHECKPOINT_PERIOD: Duration = Duration::from_millis(650);
-/// Time between looks at somebody else's lease, which is renewed meanwhile if its holder lives.
+/// Maximum time between polls of the lease of another node. A live holder renews its lease within this time.
 const POLL_PERIOD: Duration = Duration::from_secs(2);
-/// Time between looks at whether there is more to keep.
+/// Time between checks whether the checkpoint has changed.
 const CHANGE_POLL_PERIOD: Duration = Duration::from_millis(50);
-/// A holder stops this long before its time ends.
+/// A holder stops acting this long before its term expires.
 const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -47,25 +50,27 @@
     holder: String,
     epoch: u64,
     renewal: u64,
-    /// Where the holder listens: two machines may bear the same name. Earlier builds tell none.
+    /// Address at which the holder listens, since two machines may have the same name. Earlier builds write
+    /// none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     address: Option<SocketAddr>,
-    /// What the holder keeps for whoever holds the lease next.
+    /// Checkpoint stored by the holder for the next holder of the lease.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     checkpoint: String,
 }
 
-/// What the holder of a lease keeps with each renewal, and a successor goes on from.
+/// State that the holder of a lease stores with each renewal, and that its successor restores.
 pub trait Checkpoint: Send + Sync + 'static {
-    /// What to keep now.
+    /// Encodes the current state for storage.
     fn saved_state(&self) -> String;
-    /// A number that changes when there is more to keep.
+    /// A counter that changes whenever the state to be stored changes.
     fn change_count(&self) -> u64;
-    /// Takes over what the last holder kept. This node is about to take the lease, and may still fail to.
+    /// Restores the state stored by the last holder. It is called before the write that acquires the lease,
+    /// which may still fail.
     fn restore(&self, saved: &str);
 }
 
-/// For leases whose holders keep nothing.
+/// The checkpoint of leases whose holders store no state.
 struct NoCheckpoint;
 
 impl Checkpoint for NoCheckpoint {
@@ -80,45 +85,46 @@
     fn restore(&self, _: &str) {}
 }
 
-/// What this node knows of a lease.
+/// The state of a lease as known to this node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LeaseState {
-    /// The holder last seen; empty when never held.
+    /// The last observed holder; empty if none was observed.
     pub holder: String,
-    /// The epoch last seen.
+    /// The last observed epoch.
     pub epoch: u64,
-    /// Until when this node may act; `None` when it is not the holder.
+    /// End of the term of this node; `None` if it is not the holder.
     pub valid_until: Option<Moment>,
 }
 
 impl LeaseState {
-    /// The epoch under which this node may act right now.
+    /// The epoch under which this node may act now; `None` if its term has expired or is about to.
     pub fn held_epoch(&self) -> Option<u64> {
         let until = self.valid_until?;
         (Moment::now() + SAFETY_MARGIN < until).then_some(self.epoch)
     }
 }
 
-/// A lease that this node tries to hold.
+/// A lease that this node holds or contends for.
 pub struct Lease {
     key: String,
     node: NodeId,
     address: Option<SocketAddr>,
     checkpoint: Arc<dyn Checkpoint>,
-    /// The changes of the checkpoint that the last write kept.
+    /// Change count of the checkpoint stored by the last write.
     saved_change_count: u64,
     store: Arc<dyn VersionedObjects>,
     state: watch::Sender<LeaseState>,
     observed: Option<(Version, Moment)>,
-    /// The highest epoch seen: one that was given is never given again, whatever another writer makes of the object.
+    /// The highest observed epoch. A used epoch is never used again, whatever another writer writes to the
+    /// object.
     highest_epoch: u64,
-    /// The version of this node's own last write, which the next renewal names without reading.
+    /// The version of the last write of this node. The next renewal expects it without reading the object.
     held_version: Option<Version>,
     renewal: u64,
 }
 
 impl Lease {
-    /// A lease under `leases/<name>`; the receiver follows its state.
+    /// Creates a lease stored at `leases/<name>`, and a receiver of its state.
     pub fn new(
         name: &str,
         node: NodeId,
@@ -127,7 +133,7 @@
         Self::with_store(name, node, Arc::new(store))
     }
 
-    /// A lease in a store that others use, too.
+    /// Creates a lease in a shared store.
     pub fn with_store(
         name: &str,
         node: NodeId,
@@ -152,17 +158,17 @@
         (lease, receiver)
     }
 
-    /// The same lease for a process that listens at an address, which no other process can have at the same time.
+    /// Sets the address at which this process listens. No other process can listen there at the same time.
     pub fn with_address(self, address: SocketAddr) -> Self {
         Self { address: Some(address), ..self }
     }
 
-    /// The same lease, under which the holder keeps a checkpoint.
+    /// Sets the checkpoint that is stored with each renewal.
     pub fn with_checkpoint(self, checkpoint: Arc<dyn Checkpoint>) -> Self {
         Self { checkpoint, ..self }
     }
 
-    /// Renews or contends until the task is ended.
+    /// Renews or contends for the lease until the task is cancelled.
     pub async fn run(mut self) {
         loop {
             let _ = self.step().await;
@@ -182,7 +188,8 @@
         }
     }
 
-    /// Time until somebody else's lease is looked at again: by then it was renewed, or may be taken.
+    /// Time until the lease of another node is polled again: the remaining time until this node may acquire
+    /// it, but at most [`POLL_PERIOD`], within which a live holder renews it.
     fn poll_delay(&self) -> Duration {
         let Some((_, since)) = self.observed else { return RENEW_PERIOD };
         let unchanged = since.elapsed();
@@ -192,7 +199,7 @@
         remaining_waits.chain([POLL_PERIOD]).min().unwrap_or(POLL_PERIOD)
     }
 
-    /// One look and, when due, one write.
+    /// Reads the lease if this node does not hold it, and renews or acquires it if that is due.
     pub async fn step(&mut self) -> Result<(), ObjectError> {
         let sent = Moment::now();
         if let Some(version) = self.held_version.take()
@@ -216,22 +223,22 @@
         Ok(())
     }
 
-    /// A record under this node's name counts as held only while this process remembers holding
-    /// it: after a restart the name is the same and the earlier process may have orders in flight.
+    /// Whether a record is a lease held by this process. The name of the node is not sufficient: it is the
+    /// same after a restart, while the earlier process may have orders in flight.
     fn is_holder(&self, record: &LeaseRecord) -> bool {
         let state = self.state.borrow();
         let current = state.valid_until.is_some_and(|until| Moment::now() < until);
         record.holder == self.node.as_str() && record.epoch == state.epoch && current
     }
 
-    /// The epoch that this process holds, if its time is not over.
+    /// The epoch held by this process, unless its term has expired.
     fn current_epoch(&self, now: Moment) -> Option<u64> {
         let state = self.state.borrow();
         let until = state.valid_until?;
         (now < until).then_some(state.epoch)
     }
 
-    /// Time for which a lease must be unchanged until this node may take it.
+    /// Time for which a lease must be unchanged before this node may acquire it.
     fn takeover_wait(&self, record: &LeaseRecord) -> Duration {
         let is_own = record.holder == self.node.as_str() && record.address == self.address;
         if is_own { MAX_ORDER_FLIGHT_TIME } else { TAKEOVER_WAIT }
@@ -289,8 +296,9 @@
     }
 }
 
-/// A lease as written. One that can't be read was written by somebody else: it is waited for as any other, and counts as of the
-/// highest epoch that there can have been, since each took a write and each write raises the version.
+/// Parses a lease. An object that cannot be parsed was written by an unknown writer: it is treated as a lease
+/// of another holder. Its epoch is taken to be the version of the object, which is the highest possible
+/// epoch, since each new epoch takes a write and each write increases the version.
 fn read_record(object: &Object) -> LeaseRecord {
     let unreadable = |_| LeaseRecord {
         holder: String::new(),
--- a/crates/beamwall-store/src/lib.rs
+++ b/crates/beamwall-store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform: object API, cloud API, machine list, leases and call budget.
 //!
-//! The ports ([`ObjectStore`], [`CloudClient`]) speak in typed values. Their wire formats stand in
-//! one adapter module each ([`object_wire`], [`cloud_wire`]); another dialect of the platform
-//! means another adapter and no other change.
+//! The ports ([`ObjectStore`], [`CloudClient`]) use typed values. The wire format of each is implemented in
+//! an adapter module ([`object_wire`], [`cloud_wire`]); another dialect of the platform's API needs another
+//! adapter and no other change.
 
 pub mod budget;
 pub mod cloud;
--- a/crates/beamwall-store/src/object.rs
+++ b/crates/beamwall-store/src/object.rs
@@ -1,4 +1,4 @@
-//! The object API port: versioned objects, conditional writes and watches.
+//! Client of the object API: versioned objects, conditional writes and watches.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,31 +13,31 @@
 use crate::budget::CallBudget;
 use crate::object_wire;
 
-/// Versions of one object rise with every write; an object that does not exist has version 0.
+/// Version of an object. It increases with every write; an object that does not exist has version 0.
 pub type Version = u64;
 
-/// The version that a conditional write names to create an object.
+/// The expected version of a conditional write that creates an object.
 pub const ABSENT: Version = 0;
 
 quick_error! {
     /// Why a call to the object API failed.
     #[derive(Debug)]
     pub enum ObjectError {
-        /// The object has another version than the write named; the write did not take effect.
+        /// The object does not have the expected version; the write did not take effect.
         Conflict(current: Version) {
             display("object has version {}", current)
         }
-        /// The platform refused the call before acting on it, or could not be reached.
+        /// The platform rejected the call before executing it, or could not be reached.
         Unavailable(reason: String) {
             display("platform unavailable: {}", reason)
         }
-        /// The call was sent and its answer lost: a write may have taken effect.
+        /// The call was sent and its response was lost: a write may have taken effect.
         Ambiguous(reason: String) {
-            display("response from the platform was lost: {}", reason)
+            display("answer from the platform was lost: {}", reason)
         }
-        /// The platform answered in a way this client does not know.
+        /// The platform sent a response that this client does not understand.
         Unexpected(reason: String) {
-            display("unexpected response from the platform: {}", reason)
+            display("unexpected answer from the platform: {}", reason)
         }
     }
 }
@@ -52,32 +52,32 @@
     }
 }
 
-/// An object as read.
+/// An object as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
     /// The key.
     pub key: String,
-    /// The version read.
+    /// The version at the time of the read.
     pub version: Version,
     /// The value.
     pub value: Bytes,
 }
 
-/// What a watch saw.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchResponse {
-    /// Pass this to the next watch.
+    /// Sequence number to pass to the next watch.
     pub sequence: u64,
-    /// Keys that changed.
+    /// Keys of the objects that changed.
     pub changed: Vec<String>,
 }
 
-/// Versioned objects with conditional writes: what leases and settled writes need of a store.
+/// A store of versioned objects with conditional writes, as leases and settled writes need it.
 #[async_trait]
 pub trait VersionedObjects: Send + Sync + 'static {
     /// Reads an object; `None` when it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Object>, ObjectError>;
-    /// Writes an object if it has the version named; [`ABSENT`] creates it.
+    /// Writes an object if it has the version `expected`; [`ABSENT`] creates it.
     async fn put(&self, key: &str, expected: Version, value: Bytes) -> Result<Version, ObjectError>;
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Client of the object API. Cloning shares the budget and the health mark.
+/// Client of the object API. Clones share the call budget and the health flag.
 #[derive(Clone)]
 pub struct ObjectStore {
     client: JsonClient,
@@ -101,17 +101,17 @@
 }
 
 impl ObjectStore {
-    /// A client within a budget.
+    /// Creates a client whose calls are limited by `budget`.
     pub fn new(client: JsonClient, budget: Arc<CallBudget>) -> Self {
         Self { client, budget, healthy: Arc::new(AtomicBool::new(true)) }
     }
 
-    /// Whether the last call was answered.
+    /// Whether the last call got a response other than 503 (Service Unavailable).
     pub fn healthy(&self) -> bool {
         self.healthy.load(Ordering::Relaxed)
     }
 
-    /// The budget, for metrics.
+    /// The call budget, for metrics.
     pub fn budget(&self) -> &CallBudget {
         &self.budget
     }
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Writes an object if it has the version named; [`ABSENT`] creates it.
+    /// Writes an object if it has the version `expected`; [`ABSENT`] creates it.
     pub async fn put(&self, key: &str, expected: Version, value: Bytes) -> Result<Version, ObjectError> {
         let path = object_wire::conditional_path(key, expected);
         let response = self.call(&self.client, Method::PUT, &path, value).await?;
         object_wire::read_version(&response)
     }
 
-    /// Deletes an object if it has the version named.
+    /// Deletes an object if it has the expected version.
     pub async fn delete(&self, key: &str, expected: Version) -> Result<(), ObjectError> {
         let path = object_wire::conditional_path(key, expected);
         let response = self.call(&self.client, Method::DELETE, &path, Bytes::new()).await?;
@@ -151,7 +151,8 @@
         object_wire::read_list(&response.body)
     }
 
-    /// Waits up to `wait` for a change after `sequence` to keys that start with `prefix`.
+    /// Waits up to `wait` for a change with a sequence number above `sequence` to a key that starts with
+    /// `prefix`.
     pub async fn watch(
         &self,
         prefix: &str,
--- a/crates/beamwall-store/src/object_wire.rs
+++ b/crates/beamwall-store/src/object_wire.rs
@@ -9,7 +9,7 @@
 
 use crate::object::{Object, ObjectError, Version, WatchResponse};
 
-/// An object in an answer. Values are UTF-8 text.
+/// An object in a response. Values are UTF-8 text.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireObject {
     /// The key.
@@ -20,33 +20,33 @@
     pub value: String,
 }
 
-/// The answer to a write.
+/// The response to a write.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireVersion {
-    /// The version after the write, or the current version of a refused write.
+    /// The version after the write; for a rejected write, the current version of the object.
     pub version: Version,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireWatch {
     /// The sequence number of the newest change.
     pub sequence: u64,
-    /// Keys changed after the sequence asked for.
+    /// Keys that changed after the sequence number of the request.
     pub changed: Vec<String>,
 }
 
-/// Path of an object.
+/// Path to read an object.
 pub fn object_path(key: &str) -> String {
     format!("/objects/{key}")
 }
 
-/// Path of a conditional write.
+/// Path of a conditional write or delete.
 pub fn conditional_path(key: &str, expected: Version) -> String {
     format!("/objects/{key}?if-version={expected}")
 }
 
-/// Path of a listing.
+/// Path to list objects by key prefix.
 pub fn list_path(prefix: &str) -> String {
     format!("/list?prefix={prefix}")
 }
@@ -60,13 +60,13 @@
     ObjectError::Unexpected(error.to_string())
 }
 
-/// Reads an object from the answer to a GET.
+/// Parses the response to reading one object.
 pub fn read_object(key: &str, body: &Bytes) -> Result<Object, ObjectError> {
     let wire: WireObject = serde_json::from_slice(body).map_err(parse_error)?;
     Ok(Object { key: key.to_owned(), version: wire.version, value: Bytes::from(wire.value) })
 }
 
-/// Reads a listing.
+/// Parses the response to listing objects.
 pub fn read_list(body: &Bytes) -> Result<Vec<Object>, ObjectError> {
     let wire: Vec<WireObject> = serde_json::from_slice(body).map_err(parse_error)?;
     let object =
@@ -74,13 +74,13 @@
     Ok(wire.into_iter().map(object).collect())
 }
 
-/// Reads the answer to a watch.
+/// Parses the response to a watch.
 pub fn read_watch(body: &Bytes) -> Result<WatchResponse, ObjectError> {
     let wire: WireWatch = serde_json::from_slice(body).map_err(parse_error)?;
     Ok(WatchResponse { sequence: wire.sequence, changed: wire.changed })
 }
 
-/// Reads the answer to a conditional write.
+/// Parses the response to a conditional write or delete.
 pub fn read_version(response: &ClientResponse) -> Result<Version, ObjectError> {
     match response.status {
         StatusCode::OK => {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads a refusal.
+/// Converts a response with an error status to an error.
 pub fn read_error(response: &ClientResponse) -> ObjectError {
     match response.status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
--- a/crates/beamwall-store/src/settle.rs
+++ b/crates/beamwall-store/src/settle.rs
@@ -1,9 +1,9 @@
-//! Conditional writes whose answer was lost are settled by reading back.
+//! Settles conditional writes: after a lost response, the object is read back to find out whether the write
+//! took effect.
 //!
-//! Every value written carries an identifier of the write. After a lost answer the object is
-//! read: when it holds the identifier the write took effect; when it still has the version the
-//! write named, the same conditional write is sent again (at most one of the two can succeed);
-//! otherwise another write won.
+//! Every value written contains an identifier of the write. If the object read back contains the identifier,
+//! the write took effect. If the object still has the version that the write expected, the same conditional
+//! write is sent again (at most one of the two can succeed). Otherwise another write won.
 
 use std::time::Duration;
 
@@ -13,22 +13,24 @@
 
 use crate::object::{Object, ObjectError, Version, VersionedObjects};
 
-/// Pause between tries while the platform does not answer.
+/// Delay between attempts while the platform does not respond.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The result of a settled write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settled {
-    /// The write took effect; nobody has written between.
+    /// The write took effect and its response was received: the object has this version after it.
     Written(Version),
-    /// The write took effect and its answer was lost. This is the object as read since: others may have written too.
+    /// The write took effect and its response was lost. The object was read afterwards and may contain later
+    /// writes of others, too.
     Found(Object),
     /// Another write won; the write did not and will not take effect.
     Lost,
 }
 
 impl Settled {
-    /// The version of a write that took effect, for writers whose `is_mine` compares the whole value.
+    /// The version of a write that took effect. Only for writers whose `is_own_write` compares the complete
+    /// value: otherwise the version of an object read back may be that of a later write.
     pub fn written_version(self) -> Option<Version> {
         match self {
             Self::Written(version) => Some(version),
@@ -42,12 +44,12 @@
     /// Why a write could not be settled before the deadline.
     #[derive(Debug)]
     pub enum SettleError {
-        /// Nothing that was sent can have taken effect.
+        /// The write did not and will not take effect.
         NotWritten(cause: ObjectError) {
             display("not written: {}", cause)
             source(cause)
         }
-        /// A write was sent and whether it took effect is not known.
+        /// A write was sent, and it is unknown whether it took effect.
         Undecided(cause: ObjectError) {
             display("not known whether written: {}", cause)
             source(cause)
@@ -55,8 +57,9 @@
     }
 }
 
-/// Writes `value` over version `expected` of `key` and settles a lost answer. `is_mine` tells
-/// whether an object as read contains this write; it may hold more.
+/// Writes `value` to `key` if the object has the version `expected`, and settles the write if its response is
+/// lost. `is_own_write` returns whether an object read back contains this write; the object may contain other
+/// writes as well.
 pub async fn put_settled<F>(
     store: &dyn VersionedObjects,
     key: &str,
--- a/crates/beamwall-store/tests/foreign_lease.rs
+++ b/crates/beamwall-store/tests/foreign_lease.rs
@@ -1,4 +1,4 @@
-//! A lease whose object another writer wrote: it is no lease of ours, and its epoch still rises.
+//! Leases whose object was written by another writer: the contender waits, and the epoch still increases.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// One object in memory.
+/// A store of one object in memory.
 #[derive(Default)]
 struct SingleObjectStore(Mutex<Option<(Version, Bytes)>>);
 
@@ -40,17 +40,17 @@
     }
 }
 
-/// The epoch under which a contender holds the lease in the end.
+/// Steps until the contender acquires the lease, and returns its epoch.
 async fn acquire(lease: &mut Lease, state: &tokio::sync::watch::Receiver<beamwall_store::LeaseState>) -> u64 {
     let started = Instant::now();
     loop {
-        // An object that can't be read is no failure of the store.
-        lease.step().await.expect("the store answers");
+        // An object that cannot be parsed is not an error of the store.
+        lease.step().await.expect("the store responds");
         if let Some(epoch) = state.borrow().held_epoch() {
-            assert!(started.elapsed() >= TAKEOVER_WAIT, "whoever wrote it may act");
+            assert!(started.elapsed() >= TAKEOVER_WAIT, "the previous writer may still act");
             return epoch;
         }
-        assert!(started.elapsed() < TAKEOVER_WAIT * 3, "it is never taken");
+        assert!(started.elapsed() < TAKEOVER_WAIT * 3, "the lease is never acquired");
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
 }
@@ -63,7 +63,7 @@
         let store = Arc::new(SingleObjectStore::default());
         store.write(foreign);
         let (mut lease, state) = Lease::with_store("duty", "one".into(), store.clone());
-        // Each epoch took a write, so none was higher than the version.
+        // Each epoch takes a write, so none was higher than the version.
         assert!(acquire(&mut lease, &state).await >= 40, "{foreign}");
     }
 }
@@ -73,7 +73,7 @@
     let store = Arc::new(SingleObjectStore::default());
     store.write("{\"holder\":\"two\",\"epoch\":60,\"renewal\":1}");
     let (mut lease, state) = Lease::with_store("duty", "one".into(), store.clone());
-    lease.step().await.expect("the store answers");
+    lease.step().await.expect("the store responds");
     store.write("{\"holder\":\"two\",\"epoch\":3,\"renewal\":1}");
     assert!(acquire(&mut lease, &state).await > 60);
 }
