--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -1,36 +1,36 @@
-//! Gathers the candidates of one request from what this node knows.
+//! Collects the candidate back ends of one request from this node's state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
 use beamwall_clock::running;
-use beamwall_engine_model::{EngineModels, Reading, ServiceEstimates};
+use beamwall_engine_model::{EngineModels, PrefillWork, ServiceEstimates};
 use beamwall_model::{BackendId, ServiceName, ZoneName};
-use beamwall_rollout::{Side, VersionRule};
+use beamwall_rollout::{VersionChoice, VersionRule};
 use rand::seq::SliceRandom;
 use tokio::time::Instant;
 
 use crate::choice::Candidate;
-use crate::cut_zones::CutZones;
 use crate::directory::{Backend, Directory};
-use crate::health::HealthBook;
+use crate::directory_staleness::StalenessTracker;
+use crate::health::HealthTracker;
 use crate::health::HealthView;
-use crate::list_doubts::ListDoubts;
-use crate::load::{LoadBook, OpenLoad};
-use crate::placement::{ReadingQueues, UnreachableReports};
+use crate::load::{LoadTracker, OpenLoad};
+use crate::placement::{PrefillQueues, UnreachableReports};
 use crate::placement_groups::EngineGroup;
 use crate::ports::Prompt;
-use crate::prefix::{self, PrefixBelief};
+use crate::prefix_cache::{self, PrefixCacheIndex};
 use crate::reporter::Reporter;
+use crate::unreachable_zones::UnreachableZones;
 
-/// Back ends drawn at random for each request that a node chooses for itself, beside those that keep parts of
-/// its prompt. Nodes that all looked at all back ends would all choose the one that was idle at the last
-/// heartbeat.
-const SAMPLED: usize = 10;
-/// The same for a request placed for all nodes: more are not compared, so that the time for it is bounded.
-const SAMPLED_FOR_ALL: usize = 128;
+/// Back ends sampled at random when a node chooses for its own request, in addition to those that cache parts
+/// of the prompt. If all nodes compared all back ends, all of them would choose the one that was idle at the
+/// last heartbeat.
+const SENDER_SAMPLE_SIZE: usize = 10;
+/// Sample size for a request placed on behalf of another node. The limit bounds the time of a placement.
+const PLACER_SAMPLE_SIZE: usize = 128;
 
-/// What a back end is looked for.
+/// Search criteria for a back end.
 #[derive(Debug, Clone, Copy)]
 pub struct Search<'a> {
     /// The service.
@@ -39,76 +39,80 @@
     pub zone: &'a ZoneName,
     /// The prompt, for model engines.
     pub prompt: Option<&'a Prompt>,
-    /// The back ends of the service that are looked at.
+    /// The group of the service's back ends that is searched.
     pub group: EngineGroup,
-    /// Back ends that are left out.
+    /// Back ends that are excluded.
     pub avoided: &'a [BackendId],
-    /// Which versions may take it, during a rollout.
+    /// Versions that may serve the request during a rollout.
     pub versions: Option<&'a VersionRule>,
-    /// Who chooses, which tells how well unread prompts are known.
+    /// Who chooses, which determines how precisely the queued prompts are known.
     pub by: ChosenBy,
 }
 
 /// Who chooses a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChosenBy {
-    /// The node that sends the request: it knows its own open work and what others told.
+    /// The node that sends the request. It knows its own open requests and what its peers reported.
     Sender,
-    /// The node that places the requests of all: it knows the prompts placed a moment ago.
+    /// The placement node. It also knows the prompts that it placed a moment ago and that are not reported
+    /// yet.
     Placer,
-    /// The node that sends the request, by a baseline that compares all.
+    /// The node that sends the request, using a baseline strategy that compares all back ends.
     Baseline,
 }
 
-/// What a node knows of back ends beside the directory.
+/// State of the back ends at one node, in addition to the directory.
 #[derive(Debug, Default)]
-pub struct Knowledge {
-    /// Open work.
-    pub loads: Arc<LoadBook>,
+pub struct BackendState {
+    /// Open requests.
+    pub loads: Arc<LoadTracker>,
     /// Recent failures.
-    pub health: HealthBook,
-    /// Kept prompt parts.
-    pub prefixes: PrefixBelief,
-    /// Prompts that this node placed for all.
-    pub queues: ReadingQueues,
-    /// What speaks against the list of back ends.
-    pub doubts: ListDoubts,
-    /// Engines that those could not reach for whom this node places.
+    pub health: HealthTracker,
+    /// Cached prompt parts.
+    pub prefixes: PrefixCacheIndex,
+    /// Prompts that this node placed on behalf of all nodes.
+    pub queues: PrefillQueues,
+    /// Evidence that the list of back ends is stale.
+    pub staleness: StalenessTracker,
+    /// Engines that the nodes for which this node places could not reach.
     pub reports: UnreachableReports,
-    /// Zones from which this node seems to be cut off.
-    pub cut_zones: CutZones,
-    /// What back ends can do.
+    /// Zones that seem to be unreachable from this node.
+    pub unreachable_zones: UnreachableZones,
+    /// Performance models of the back ends.
     pub models: EngineModels<Reporter>,
 }
 
-impl Knowledge {
-    /// Forgets back ends that the directory does not hold.
-    pub fn follow(&self, directory: &Directory) {
+impl BackendState {
+    /// Removes the state of back ends that are not in the directory.
+    pub fn retain_listed(&self, directory: &Directory) {
         self.health.retain(|backend| directory.get(backend).is_some());
-        self.doubts.retain(|backend| directory.get(backend).is_some());
+        self.staleness.retain(|backend| directory.get(backend).is_some());
         self.prefixes.retain(|backend| directory.get(backend).is_some());
         self.queues.retain(|backend| directory.get(backend).is_some());
         self.reports.retain(|backend| directory.get(backend).is_some());
-        self.models.retain(|backend| directory.get(backend).is_some());
+        self.models.retain_backends(|backend| directory.get(backend).is_some());
     }
 
-    /// The candidates for a request, in random order so that equal ones share the load; of many back ends
-    /// a sample.
+    /// The candidates for a request, in random order so that candidates of equal cost share the load. If
+    /// there are many back ends, this is a sample.
     pub fn candidates(&self, directory: &Directory, search: Search<'_>) -> Vec<Candidate> {
         let now = Instant::now();
         let estimates = self.models.estimates(search.service);
         let factors = self.models.factors();
-        let usable = allowed_by(search.versions, directory.usable_in_group(search.service, search.group));
+        let usable =
+            allowed_by_rollout(search.versions, directory.usable_in_group(search.service, search.group));
         let names = usable.iter().map(|backend| &backend.id);
-        let home = search.prompt.and_then(|prompt| prefix::home(prompt, names));
+        let preferred_back_end =
+            search.prompt.and_then(|prompt| prefix_cache::preferred_back_end(prompt, names));
         let mut allowed: Vec<&Backend> =
             usable.into_iter().filter(|backend| !search.avoided.contains(&backend.id)).collect();
         allowed.shuffle(&mut rand::rng());
-        let sampled = if search.by == ChosenBy::Sender { SAMPLED } else { SAMPLED_FOR_ALL };
+        let sample_size = if search.by == ChosenBy::Sender { SENDER_SAMPLE_SIZE } else { PLACER_SAMPLE_SIZE };
         let considered = allowed.iter().enumerate().filter(|(position, backend)| {
-            let is_kept =
-                || search.prompt.is_some_and(|prompt| self.prefixes.keeps_any(&backend.id, prompt, now));
-            *position < sampled || home == Some(&backend.id) || is_kept()
+            let caches_part = || {
+                search.prompt.is_some_and(|prompt| self.prefixes.caches_shared_part(&backend.id, prompt, now))
+            };
+            *position < sample_size || preferred_back_end == Some(&backend.id) || caches_part()
         });
         considered
             .map(|(_, backend)| Candidate {
@@ -116,8 +120,10 @@
                 same_zone: &backend.zone == search.zone,
                 slots: backend.slots,
                 load: self.load(&backend.id, search.by, &estimates, now),
-                reading: search.prompt.map(|prompt| self.reading(&backend.id, home, prompt, now)),
-                slowness: factors.of(&backend.id),
+                reading: search
+                    .prompt
+                    .map(|prompt| self.prefill_work(&backend.id, preferred_back_end, prompt, now)),
+                slowness: factors.for_backend(&backend.id),
                 health: self.health(backend, search.by, now),
             })
             .collect()
@@ -126,25 +132,30 @@
     fn health(&self, backend: &Backend, by: ChosenBy, now: Instant) -> HealthView {
         let own = self.health.view(&backend.id, now);
         let is_reported = || by == ChosenBy::Placer && self.reports.is_confirmed(&backend.id, now);
-        let is_cut_off =
-            || self.cut_zones.contains(&backend.zone) && !self.health.is_heard(&backend.id, running::now());
+        let is_cut_off = || {
+            self.unreachable_zones.contains(&backend.zone)
+                && !self.health.is_responsive(&backend.id, running::now())
+        };
         HealthView { unreachable: own.unreachable || is_reported() || is_cut_off(), ..own }
     }
 
-    /// Back ends that would hardly take over a request now: they refused one a moment ago, could not be reached, or owe
-    /// events to this node's streams and are silent themselves.
-    pub(crate) fn not_taking(&self) -> Vec<BackendId> {
+    /// Back ends that probably would not accept another request now: they refused one recently, could not be
+    /// reached, or are silent while events of this node's streams are outstanding.
+    pub(crate) fn unlikely_to_accept(&self) -> Vec<BackendId> {
         let now = Instant::now();
         let mut found = self.health.refusing(now);
         found.extend(self.health.unreachable(now));
-        let owing = self.loads.back_ends_answering().into_iter();
-        found.extend(owing.filter(|backend| !self.health.is_heard(backend, running::now())));
+        let with_pending_events = self.loads.back_ends_responding().into_iter();
+        found.extend(
+            with_pending_events.filter(|backend| !self.health.is_responsive(backend, running::now())),
+        );
         found
     }
 
-    /// Takes the zones of which no node is heard; gives those that are found cut off only now.
+    /// Updates the unreachable zones from the silent ones, from which this node receives no messages. Returns
+    /// those newly found unreachable.
     pub fn note_silent_zones(&self, silent: &HashSet<ZoneName>, directory: &Directory) -> Vec<ZoneName> {
-        self.cut_zones.update(silent, directory, &self.health, &self.reports, Instant::now())
+        self.unreachable_zones.update(silent, directory, &self.health, &self.reports, Instant::now())
     }
 
     fn load(
@@ -154,41 +165,45 @@
         estimates: &ServiceEstimates,
         now: Instant,
     ) -> OpenLoad {
-        let told = self.loads.total(backend);
+        let reported_load = self.loads.total(backend);
         match (by, estimates.tokens_per_ms()) {
             (ChosenBy::Placer, Some(speed)) => {
-                let prompt_tokens = (self.queues.left_ms(backend, now) * speed) as u64;
-                OpenLoad { prompt_tokens, requests: told.requests + self.queues.untold(backend, now) }
+                let prompt_tokens = (self.queues.prefill_left_ms(backend, now) * speed) as u64;
+                OpenLoad {
+                    prompt_tokens,
+                    requests: reported_load.requests + self.queues.unreported_requests(backend, now),
+                }
             }
-            _ => told,
+            _ => reported_load,
         }
     }
 
-    fn reading(
+    fn prefill_work(
         &self,
         backend: &BackendId,
-        home: Option<&BackendId>,
+        preferred_back_end: Option<&BackendId>,
         prompt: &Prompt,
         now: Instant,
-    ) -> Reading {
-        let kept = self.prefixes.kept_tokens(backend, prompt, now);
-        let assumed = if home == Some(backend) { prefix::shared_tokens(prompt) } else { 0 };
-        let kept = kept.max(assumed).min(u64::from(prompt.prompt_tokens));
-        Reading::of_rest(kept, u64::from(prompt.prompt_tokens) - kept)
+    ) -> PrefillWork {
+        let cached = self.prefixes.estimated_cached_tokens(backend, prompt, now);
+        let assumed =
+            if preferred_back_end == Some(backend) { prefix_cache::shared_tokens(prompt) } else { 0 };
+        let cached = cached.max(assumed).min(u64::from(prompt.prompt_tokens));
+        PrefillWork::of_uncached(cached, u64::from(prompt.prompt_tokens) - cached)
     }
 }
 
-/// The back ends that a rollout lets take a request.
-fn allowed_by<'a>(
+/// The back ends that may serve a request during a rollout.
+fn allowed_by_rollout<'a>(
     versions: Option<&VersionRule>,
     back_ends: impl Iterator<Item = &'a Backend>,
 ) -> Vec<&'a Backend> {
     let Some(rule) = versions else { return back_ends.collect() };
     let allowed: Vec<&Backend> = back_ends.filter(|backend| rule.allows(&backend.version)).collect();
-    if rule.side != Side::FewOfNew {
+    if rule.version_choice != VersionChoice::Canary {
         return allowed;
     }
     let ids: Vec<&BackendId> = allowed.iter().map(|backend| &backend.id).collect();
-    let in_use = rule.in_use(&ids);
+    let in_use = rule.active_back_ends(&ids);
     allowed.into_iter().filter(|backend| in_use.contains(&&backend.id)).collect()
 }
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: what is decided on arrival, and the final answer.
+//! Handles callers' requests: the decisions made on arrival, and the final response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 
 use crate::forward::{Call, Forwarder};
 use crate::ports::{CallHead, Prompt};
-use crate::quota::{Charge, QuotaBook};
+use crate::quota::{Charge, QuotaLimiter};
 use crate::refusal::Refusal;
 use crate::{startup, stream, unary};
 
-/// Longest time that a caller may take to send a body.
-const BODY_READ_LIMIT: Duration = Duration::from_secs(10);
-/// Longest wait until peers are told what passed here: the pause between two heartbeats in the largest zone whose nodes
-/// all tell each other.
-const TELLING_LIMIT: Duration = Duration::from_millis(350);
-/// Kinds of route in metrics.
+/// Time limit for receiving a caller's request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest wait for a report of this node's quota usage to its peers: the heartbeat interval in the largest
+/// zone whose nodes all report to each other directly.
+const REPORT_WAIT_LIMIT: Duration = Duration::from_millis(350);
+/// Label of a kind of route in metrics.
 const fn kind_name(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Repeatable => "repeatable",
@@ -37,25 +37,25 @@
     }
 }
 
-/// All that decides on a caller's request.
+/// State needed to handle callers' requests.
 pub struct Gateway {
     /// The policy in force.
     pub policy: Arc<ArcSwap<PolicyIndex>>,
-    /// Quotas.
-    pub quotas: QuotaBook,
-    /// Forwarding.
+    /// Quotas of the tenants.
+    pub quotas: QuotaLimiter,
+    /// Forwards requests to back ends.
     pub forwarder: Arc<Forwarder>,
-    /// Told when the peers should hear at once.
-    pub news: Arc<Notify>,
+    /// Notified when peers should be sent this node's state immediately.
+    pub peer_notify: Arc<Notify>,
 }
 
-/// Answers callers.
+/// HTTP handler for callers.
 pub struct GatewayHandler {
     gateway: Arc<Gateway>,
 }
 
 impl GatewayHandler {
-    /// A handler of one gateway.
+    /// Creates a handler for a gateway.
     pub fn new(gateway: Arc<Gateway>) -> Arc<Self> {
         Arc::new(Self { gateway })
     }
@@ -67,24 +67,24 @@
         let gateway = &self.gateway;
         let head = gateway.forwarder.dialect.read_call(request.headers());
         let request_id = head.request_id.clone();
-        startup::wait_known(|| gateway.knows_enough(), head.patience).await;
+        startup::wait_until_ready(|| gateway.has_policy_and_back_ends(), head.caller_timeout).await;
         let policy = gateway.policy.load_full();
         let mut context =
-            AnswerContext { route: None, tenant: None, fingerprint: None, version: policy.version() };
-        let result = gateway.answer(request, head, &policy, received, &mut context).await;
+            ResponseLogContext { route: None, tenant: None, fingerprint: None, version: policy.version() };
+        let result = gateway.handle_request(request, head, &policy, received, &mut context).await;
         match result {
             Ok(response) => {
-                context.note_answer(gateway, request_id.as_deref(), &response, received);
+                context.log_response(gateway, request_id.as_deref(), &response, received);
                 response
             }
             Err(refusal) => {
-                context.note_refusal(gateway, request_id.as_deref(), &refusal, received);
+                context.log_refusal(gateway, request_id.as_deref(), &refusal, received);
                 refusal.response(gateway.forwarder.dialect.as_ref(), request_id.as_deref())
             }
         }
     }
 
-    /// The operator's limits: callers reuse what has rested for nearly as long.
+    /// The operator's limits, since callers reuse connections that have been idle for almost as long.
     fn request_head_timeout(&self) -> Duration {
         let policy = self.gateway.policy.load();
         let limits = &policy.policy().caller_limits;
@@ -98,16 +98,16 @@
     }
 }
 
-/// What is known of a request when its answer is logged.
-struct AnswerContext {
+/// Request data for logging the response.
+struct ResponseLogContext {
     route: Option<Arc<Route>>,
     tenant: Option<TenantRef>,
-    /// The same for all tries of one request; known once its body was read.
+    /// Equal for all tries of one request; known once its body has been received.
     fingerprint: Option<Fingerprint>,
     version: u64,
 }
 
-impl AnswerContext {
+impl ResponseLogContext {
     fn route_name(&self) -> String {
         self.route.as_ref().map(|route| route.name.clone()).unwrap_or_default()
     }
@@ -124,7 +124,7 @@
         metrics.latency.with_label_values(&[kind, &tenant]).observe(received.elapsed().as_secs_f64());
     }
 
-    fn note_answer(
+    fn log_response(
         &self,
         gateway: &Gateway,
         request_id: Option<&str>,
@@ -142,13 +142,7 @@
         });
     }
 
-    fn note_refusal(
-        &self,
-        gateway: &Gateway,
-        request_id: Option<&str>,
-        refusal: &Refusal,
-        received: Instant,
-    ) {
+    fn log_refusal(&self, gateway: &Gateway, request_id: Option<&str>, refusal: &Refusal, received: Instant) {
         self.count(gateway, refusal.status().as_str(), received);
         emit(&GatewayRefused {
             request: request_id.unwrap_or_default().to_owned(),
@@ -164,20 +158,20 @@
 }
 
 impl Gateway {
-    /// Whether a policy and back ends are known, without which no request can be served.
-    fn knows_enough(&self) -> bool {
+    /// Whether a policy and back ends are known. No request can be served without both.
+    fn has_policy_and_back_ends(&self) -> bool {
         self.policy.load().version() > 0 && self.forwarder.directory.load().is_known()
     }
 
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         head: CallHead,
         policy: &PolicyIndex,
         received: Instant,
-        context: &mut AnswerContext,
+        context: &mut ResponseLogContext,
     ) -> Result<Response<Body>, Refusal> {
-        let asleep_before = beamwall_clock::asleep();
+        let suspended_before = beamwall_clock::asleep();
         if policy.version() == 0 {
             return Err(Refusal::NotReady);
         }
@@ -191,9 +185,9 @@
         let tenant_name = tenant.as_ref().map(|tenant| tenant.name.as_str());
         let path_and_query = parts.uri.path_and_query().map_or("", |target| target.as_str());
         let mut fingerprint = FingerprintHasher::new(tenant_name, &host, path_and_query);
-        let see = |part: &[u8]| fingerprint.update(part);
-        let read = read_limited_with(body, body_limit, BODY_READ_LIMIT, see).await;
-        let body = read.map_err(from_read_error)?;
+        let hash_body_part = |part: &[u8]| fingerprint.update(part);
+        let read = read_limited_with(body, body_limit, BODY_READ_TIMEOUT, hash_body_part).await;
+        let body = read.map_err(refusal_from_read_error)?;
         let fingerprint = fingerprint.finish();
         context.fingerprint = Some(fingerprint);
         let call = Call {
@@ -211,7 +205,7 @@
             prompt: head.prompt,
             last_event: head.last_event,
             received,
-            asleep_before,
+            suspended_before,
             policy_version: policy.version(),
         };
         self.forward(Arc::new(call)).await
@@ -234,7 +228,8 @@
         result
     }
 
-    /// Charges the tenant. Work that fits once the peers know what passed here waits for that.
+    /// Charges the tenant's quota. Work that would fit after the next report to the peers waits for that
+    /// report.
     async fn charge(&self, call: &Call) -> Result<Option<Charge>, Refusal> {
         let Some(tenant) = &call.tenant else { return Ok(None) };
         let amount = match (tenant.counts_tokens, &call.prompt) {
@@ -242,21 +237,21 @@
             (true, Some(prompt)) => work_tokens(prompt),
             (true, None) => f64::from(tenant.plain_tokens),
         };
-        let give_up = Instant::now() + TELLING_LIMIT;
+        let charge_deadline = Instant::now() + REPORT_WAIT_LIMIT;
         let charged = loop {
-            let telling = self.quotas.next_telling();
+            let report_sent = self.quotas.next_report();
             let charged = self.quotas.charge(tenant, amount, Instant::now());
-            let fits_later = matches!(charged, Err(exceeded) if exceeded.fits_when_told);
-            if !fits_later || Instant::now() >= give_up {
+            let waits_for_report = matches!(charged, Err(exceeded) if exceeded.fits_after_report);
+            if !waits_for_report || Instant::now() >= charge_deadline {
                 break charged;
             }
-            self.news.notify_one();
-            // Whichever ends the wait, the next look decides.
-            let _ = timeout_at(give_up, telling).await;
+            self.peer_notify.notify_one();
+            // After a report or the timeout, the next charge decides.
+            let _ = timeout_at(charge_deadline, report_sent).await;
         };
         let charge = charged.map_err(Refusal::QuotaExceeded)?;
         if charge.as_ref().is_some_and(|charge| charge.is_urgent) {
-            self.news.notify_one();
+            self.peer_notify.notify_one();
         }
         Ok(charge)
     }
@@ -280,11 +275,11 @@
 }
 
 fn deadline(route: &Route, head: &CallHead, received: Instant) -> Instant {
-    let hold = Duration::from_millis(route.hold_limit_ms);
-    received + head.patience.map_or(hold, |patience| patience.min(hold))
+    let hold_limit = Duration::from_millis(route.hold_limit_ms);
+    received + head.caller_timeout.map_or(hold_limit, |timeout| timeout.min(hold_limit))
 }
 
-fn from_read_error(error: ReadError) -> Refusal {
+fn refusal_from_read_error(error: ReadError) -> Refusal {
     match error {
         ReadError::TooLarge(_) => Refusal::BodyTooLarge,
         other => Refusal::BadBody(other.to_string()),
--- /dev/null
+++ b/crates/beamwall-gateway/src/lost_responses.rs
@@ -0,0 +1,96 @@
+//! Lost responses by back end, kept until it is known whether the back end terminated.
+//!
+//! A lost response alone proves little: a faulty back end may close connections without terminating, and the
+//! caller's network may fail. A back end's open requests are counted as suspects only once it is known to
+//! have terminated.
+
+use std::collections::HashMap;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use beamwall_model::BackendId;
+use beamwall_quarantine::Fingerprint;
+use tokio::time::Instant;
+
+/// Time for which a lost response is kept. A machine that goes silent is detected as dead and restarted
+/// within this time.
+const LOSS_TTL: Duration = Duration::from_secs(10);
+/// Maximum number of back ends for which lost responses are kept.
+const MAX_BACK_ENDS: usize = 512;
+/// Maximum number of lost responses kept per back end.
+const MAX_REQUESTS_PER_BACK_END: usize = 256;
+
+/// Action that a lost response requires.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ProbeAction {
+    /// The back end is known to have terminated: count the request.
+    Count,
+    /// Probe whether the back end is alive.
+    Probe,
+    /// A probe is already running.
+    Wait,
+}
+
+/// Lost responses by back end.
+#[derive(Debug, Default)]
+pub struct LostResponses {
+    back_ends: Mutex<HashMap<BackendId, BackendLosses>>,
+}
+
+#[derive(Debug)]
+struct BackendLosses {
+    requests: Vec<Fingerprint>,
+    last: Instant,
+    is_probed: bool,
+    has_terminated: bool,
+}
+
+impl LostResponses {
+    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, BackendLosses>> {
+        self.back_ends.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records that a back end's response to a request was lost.
+    pub fn note(&self, backend: &BackendId, request: Fingerprint, now: Instant) -> ProbeAction {
+        let mut back_ends = self.lock();
+        back_ends.retain(|_, lost| now.saturating_duration_since(lost.last) < LOSS_TTL);
+        if back_ends.len() >= MAX_BACK_ENDS && !back_ends.contains_key(backend) {
+            return ProbeAction::Wait;
+        }
+        let lost = back_ends.entry(backend.clone()).or_insert_with(|| BackendLosses {
+            requests: Vec::new(),
+            last: now,
+            is_probed: false,
+            has_terminated: false,
+        });
+        lost.last = now;
+        if lost.has_terminated {
+            return ProbeAction::Count;
+        }
+        if lost.requests.len() < MAX_REQUESTS_PER_BACK_END && !lost.requests.contains(&request) {
+            lost.requests.push(request);
+        }
+        if std::mem::replace(&mut lost.is_probed, true) { ProbeAction::Wait } else { ProbeAction::Probe }
+    }
+
+    /// Whether a back end is currently probed.
+    pub fn is_probed(&self, backend: &BackendId) -> bool {
+        self.lock().get(backend).is_some_and(|lost| lost.is_probed)
+    }
+
+    /// Records that a probe found the back end alive or was inconclusive.
+    pub fn finish_probe(&self, backend: &BackendId) {
+        if let Some(lost) = self.lock().get_mut(backend) {
+            lost.is_probed = false;
+        }
+    }
+
+    /// Records that a back end terminated; returns the requests whose responses were lost there. Nothing is
+    /// recorded for a back end without lost responses.
+    pub fn mark_terminated(&self, backend: &BackendId) -> Vec<Fingerprint> {
+        let mut back_ends = self.lock();
+        let Some(lost) = back_ends.get_mut(backend) else { return Vec::new() };
+        lost.has_terminated = true;
+        std::mem::take(&mut lost.requests)
+    }
+}
--- a/crates/beamwall-gateway/src/stream/source.rs
+++ b/crates/beamwall-gateway/src/stream/source.rs
@@ -1,4 +1,4 @@
-//! The stream of one engine: its bytes as whole events, and how it ended.
+//! Reads the event stream of one engine: splits its bytes into whole events and detects how it ends.
 
 use beamwall_http::PooledBody;
 use bytes::{Bytes, BytesMut};
@@ -6,43 +6,44 @@
 
 use crate::attempt::AttemptFailure;
 use crate::event_stream::EventSplitter;
-use crate::load::OpenWork;
+use crate::load::OpenRequestGuard;
 use crate::placement::Choice;
 
-/// What came from an engine.
+/// Result of reading from an engine's stream.
 pub(super) enum Piece {
     /// Whole events.
     Events(Bytes),
     /// The whole stream ended.
     End,
-    /// It broke off.
+    /// The stream ended prematurely or is not an event stream.
     Broken(AttemptFailure),
 }
 
 /// The stream of one engine.
 pub(super) struct Source {
-    /// The engine, and what decided for it.
+    /// The chosen engine and the estimates behind the choice.
     pub(super) choice: Choice,
     body: PooledBody,
-    pub(super) work: OpenWork,
+    pub(super) work: OpenRequestGuard,
     splitter: EventSplitter,
-    /// Whether the answer's own framing tells its end.
+    /// Whether the HTTP framing of the response marks its end.
     is_framed: bool,
 }
 
 impl Source {
-    /// The stream of an answer whose head came; `is_framed`: the answer's own framing tells its end.
-    pub(super) fn new(choice: &Choice, body: PooledBody, work: OpenWork, is_framed: bool) -> Self {
+    /// Creates the source for a response whose head was received. `is_framed`: its HTTP framing marks its
+    /// end.
+    pub(super) fn new(choice: &Choice, body: PooledBody, work: OpenRequestGuard, is_framed: bool) -> Self {
         Self { choice: choice.clone(), body, work, splitter: EventSplitter::default(), is_framed }
     }
 
-    /// Waits for whole events; all that are there are given out at once.
+    /// Waits for whole events and returns all that are available.
     pub(super) async fn next_piece(&mut self) -> Piece {
         loop {
             if let Some(events) = self.take_events() {
                 return Piece::Events(events);
             }
-            if self.splitter.is_overfull() {
+            if self.splitter.exceeds_limit() {
                 return Piece::Broken(AttemptFailure::may_have_run("not an event stream"));
             }
             match self.body.frame().await {
@@ -65,8 +66,8 @@
         (!events.is_empty()).then(|| events.freeze())
     }
 
-    /// The stream's end: with framing of its own it is whole whatever its last bytes are; without,
-    /// only between two events.
+    /// Handles the end of the body. A framed body is complete whatever its last bytes are; an unframed one is
+    /// complete only if it ends between two events.
     fn end(&mut self) -> Piece {
         let rest = self.splitter.rest().to_vec();
         match (rest.is_empty(), self.is_framed) {
@@ -80,23 +81,23 @@
     }
 }
 
-/// What a run of whole events holds.
+/// Summary of a batch of whole events.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct EventRun {
-    /// How many events.
+pub(super) struct EventBatch {
+    /// Number of events.
     pub(super) count: u32,
-    /// The number of the last one that carries any.
+    /// Id of the last event that has one.
     pub(super) last: Option<u64>,
 }
 
-/// Reads a run of whole events.
-pub(super) fn read_run(events: &[u8]) -> EventRun {
+/// Counts the events of a batch and finds the last event id.
+pub(super) fn scan_events(events: &[u8]) -> EventBatch {
     let mut splitter = EventSplitter::default();
     splitter.push(events);
-    let mut run = EventRun::default();
+    let mut batch = EventBatch::default();
     while let Some(event) = splitter.next_event() {
-        run.count += 1;
-        run.last = event.id.or(run.last);
+        batch.count += 1;
+        batch.last = event.id.or(batch.last);
     }
-    run
+    batch
 }
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What one node does about requests under which back ends end.
+//! Quarantine, at one node, of requests that coincide with back end terminations.
 
 mod support;
 
@@ -9,17 +9,17 @@
 use async_trait::async_trait;
 use beamwall_gateway::ports::DirectorySnapshot;
 use beamwall_gateway::quarantine::{Quarantine, TrialPort};
-use beamwall_gateway::{Backend, Directory, Vanishing};
+use beamwall_gateway::{Backend, Directory, RemovalCause};
 use beamwall_http::Pool;
 use beamwall_model::BackendId;
-use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineBook};
+use beamwall_quarantine::{Admission, Fingerprint, FingerprintHasher, QuarantineRegistry};
 
-/// Grants no trial.
+/// A trial port that never grants a trial.
 struct NoTrials;
 
 #[async_trait]
 impl TrialPort for NoTrials {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -28,17 +28,17 @@
     Backend { draining, ..support::backend(name) }
 }
 
-fn list(directory: &ArcSwap<Directory>, revision: u64, backends: Vec<Backend>) {
+fn update_directory(directory: &ArcSwap<Directory>, revision: u64, backends: Vec<Backend>) {
     let mut listed = Directory::clone(&directory.load());
-    assert!(listed.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
+    assert!(listed.replace(DirectorySnapshot { revision, backends }, RemovalCause::Gone));
     directory.store(Arc::new(listed));
 }
 
 fn quarantine() -> (Arc<Quarantine>, Arc<ArcSwap<Directory>>) {
     let directory: Arc<ArcSwap<Directory>> = Arc::default();
-    let book: Arc<QuarantineBook> = Arc::default();
+    let registry: Arc<QuarantineRegistry> = Arc::default();
     let pool = Pool::new(Duration::from_millis(400));
-    let quarantine = Quarantine::new(book, pool, directory.clone(), Arc::default(), Arc::new(NoTrials));
+    let quarantine = Quarantine::new(registry, pool, directory.clone(), Arc::default(), Arc::new(NoTrials));
     (Arc::new(quarantine), directory)
 }
 
@@ -47,12 +47,12 @@
 }
 
 #[tokio::test]
-async fn engines_that_refuse_connections_after_they_lost_an_answer_have_ended() {
+async fn engines_that_refuse_connections_after_losing_an_answer_count_as_terminated() {
     let (quarantine, directory) = quarantine();
     let names = ["i-1", "i-2", "i-3"];
-    list(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
+    update_directory(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
     for name in names {
-        assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
+        assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Normal));
         quarantine.note_lost(request(), &BackendId::new(name));
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -60,19 +60,19 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_leaves_ends_on_its_own_account() {
+async fn the_termination_of_a_draining_engine_is_not_blamed_on_requests() {
     let (quarantine, directory) = quarantine();
     let names = ["i-1", "i-2", "i-3", "i-4"];
-    list(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
-    // It announces its leaving before the answer is lost, or before it is known to have ended.
-    list(&directory, 2, names.iter().map(|name| backend(name, *name < "i-3")).collect());
+    update_directory(&directory, 1, names.iter().map(|name| backend(name, false)).collect());
+    // An engine starts draining before its response is lost, or before its termination is known.
+    update_directory(&directory, 2, names.iter().map(|name| backend(name, *name < "i-3")).collect());
     for name in names {
         quarantine.note_lost(request(), &BackendId::new(name));
     }
-    list(&directory, 3, names.iter().map(|name| backend(name, true)).collect());
+    update_directory(&directory, 3, names.iter().map(|name| backend(name, true)).collect());
     for name in names {
-        quarantine.note_ended(&BackendId::new(name));
+        quarantine.note_terminated(&BackendId::new(name));
     }
     assert_eq!(quarantine.book.suspects(), 0);
-    assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Usual));
+    assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Normal));
 }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -46,15 +46,15 @@
 use beamwall_config::GatewaySettings;
 use beamwall_events::emit;
 use beamwall_events::internal_events::NodeStarted;
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::candidates::BackendState;
 use beamwall_gateway::choice::Chooser;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::forward::Forwarder;
 use beamwall_gateway::metrics::GatewayMetrics;
 use beamwall_gateway::ports::RolloutStore;
 use beamwall_gateway::quarantine::{Quarantine, TrialPort};
-use beamwall_gateway::quota::{QuotaBook, Tolerance};
+use beamwall_gateway::quota::{QuotaLimiter, Tolerance};
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{ControlStore, Dialect, Directory, DutyPort, Gateway, GatewayHandler, PlacementPort};
@@ -62,8 +62,8 @@
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork, TransferPacer};
 use beamwall_policy::PolicyArchive;
-use beamwall_quarantine::QuarantineBook;
-use beamwall_rollout::RolloutBook;
+use beamwall_quarantine::QuarantineRegistry;
+use beamwall_rollout::RolloutRegistry;
 use beamwall_store::VersionedObjects;
 use kameo::actor::Spawn;
 use prometheus::Registry;
@@ -160,7 +160,7 @@
         let life = new_incarnation();
         let members = Arc::new(ArcSwap::default());
         let placement = Arc::new(PeerPlacement::new(&settings, network.clone(), members.clone()));
-        let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
+        let (book, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
         let kept_quarantine = KeptQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
         let kept_quarantine = Arc::new(kept_quarantine);
         let quarantine = QuarantineParts { book, clock, trials: kept_quarantine.clone() };
@@ -276,7 +276,7 @@
 
 /// What the gateway's quarantine is made of beside what it forwards with.
 struct QuarantineParts {
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
 }
@@ -316,26 +316,27 @@
         dialect: ports.dialect.clone(),
         pool,
         directory,
-        knowledge: Knowledge::default(),
+        backend_state: BackendState::default(),
         chooser: Chooser::new(settings.choice),
         placement,
-        demand: DemandBook::default(),
-        rollouts: RolloutBook::default(),
+        demand: DemandTracker::default(),
+        rollouts: RolloutRegistry::default(),
         retries: RetryBudgets::new(retries, nodes),
-        usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, life),
+        usage: UsageLedger::new(settings.usage_window).for_generation(&settings.node, life),
         clock,
         quarantine: Arc::new(quarantine),
         metrics: GatewayMetrics::new(registry)?,
     });
     let tolerance = Tolerance {
-        usual: settings.quota_overage * QUOTA_OVERAGE_USED,
+        sustained: settings.quota_overage * QUOTA_OVERAGE_USED,
         in_window: settings.quota_overage,
         at_start: settings.quota_overage * QUOTA_OVERAGE_USED_AT_START,
         window: settings.quota_window,
     };
-    let quotas =
-        QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes).tolerating(tolerance).started_at(life);
-    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
+    let quotas = QuotaLimiter::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
+        .with_tolerance(tolerance)
+        .with_generation(life);
+    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, peer_notify: Arc::default() }))
 }
 
 /// A ratio in whole hundredths.
@@ -391,7 +392,7 @@
         )),
         directory,
         readiness: readiness.clone(),
-        news: gateway.news.clone(),
+        news: gateway.peer_notify.clone(),
         versions,
         started: Instant::now(),
         demand_closed: Mutex::new(Instant::now()),
--- a/crates/beamwall-node/tests/kept_quarantine.rs
+++ b/crates/beamwall-node/tests/kept_quarantine.rs
@@ -7,7 +7,7 @@
 use beamwall_gateway::quarantine::TrialPort;
 use beamwall_model::BackendId;
 use beamwall_node::gateway::kept_quarantine::KeptQuarantine;
-use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineBook};
+use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineRegistry};
 use beamwall_store::object::{Object, ObjectError, Version, VersionedObjects};
 use bytes::Bytes;
 
@@ -34,12 +34,12 @@
 }
 
 struct Node {
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     kept: KeptQuarantine,
 }
 
 fn node(objects: &Arc<Objects>) -> Node {
-    let book: Arc<QuarantineBook> = Arc::default();
+    let book: Arc<QuarantineRegistry> = Arc::default();
     let kept = KeptQuarantine::new(objects.clone(), book.clone(), Arc::default());
     Node { book, kept }
 }
@@ -54,7 +54,7 @@
 
 fn hold(node: &Node) {
     for engine in ["i-1", "i-2", "i-3"] {
-        node.book.note_ending(&BackendId::new(engine), vec![request()], now_ms());
+        node.book.note_termination(&BackendId::new(engine), vec![request()], now_ms());
     }
     assert!(node.book.is_held(&request()));
 }
@@ -80,13 +80,13 @@
         // Each asks twice, later each time, and none hears of the others.
         for (turn, asking) in nodes.iter().chain(&nodes).enumerate() {
             let at_ms = now_ms() + turn as u64 * 10;
-            granted += usize::from(asking.kept.take(&request(), number, at_ms).await);
+            granted += usize::from(asking.kept.claim_trial(&request(), number, at_ms).await);
         }
         assert_eq!(granted, 1, "trial {number}");
     }
     let later = node(&objects);
     later.kept.recall().await;
-    assert!(!later.kept.take(&request(), 2, now_ms() + 100).await, "also in a next life");
+    assert!(!later.kept.claim_trial(&request(), 2, now_ms() + 100).await, "also in a next life");
 }
 
 #[tokio::test]
