--- a/crates/beamwall-gateway/benches/choice.rs
+++ b/crates/beamwall-gateway/benches/choice.rs
@@ -46,7 +46,7 @@
 ) -> BackendId {
     let service = service();
     let zone = "a".into();
-    let by = ChosenBy::Placer;
+    let by = ChosenBy::PlacementNode;
     let search = Search {
         service: &service,
         zone: &zone,
--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -122,7 +122,7 @@
         return Err(AttemptFailure::not_sent("the back end is gone".to_owned()));
     };
     let request = build_request(forwarder, call, &target.instance, last_event);
-    let work = forwarder.backend_state.loads.open(backend, choice.reading.tokens);
+    let work = forwarder.backend_state.loads.open(backend, choice.prefill.tokens);
     let (sent_at, stood_still) = (Instant::now(), running::stood_still());
     let sent = timers::timeout(limit, forwarder.pool.send(target.address, request)).await;
     let result = match sent {
--- a/crates/beamwall-gateway/src/candidates.rs
+++ b/crates/beamwall-gateway/src/candidates.rs
@@ -28,7 +28,7 @@
 /// last heartbeat.
 const SENDER_SAMPLE_SIZE: usize = 10;
 /// Sample size for a request placed on behalf of another node. The limit bounds the time of a placement.
-const PLACER_SAMPLE_SIZE: usize = 128;
+const PLACEMENT_NODE_SAMPLE_SIZE: usize = 128;
 
 /// Search criteria for a back end.
 #[derive(Debug, Clone, Copy)]
@@ -56,7 +56,7 @@
     Sender,
     /// The placement node. It also knows the prompts that it placed a moment ago and that are not reported
     /// yet.
-    Placer,
+    PlacementNode,
     /// The node that sends the request, using a baseline strategy that compares all back ends.
     Baseline,
 }
@@ -107,7 +107,8 @@
         let mut allowed: Vec<&Backend> =
             usable.into_iter().filter(|backend| !search.avoided.contains(&backend.id)).collect();
         allowed.shuffle(&mut rand::rng());
-        let sample_size = if search.by == ChosenBy::Sender { SENDER_SAMPLE_SIZE } else { PLACER_SAMPLE_SIZE };
+        let sample_size =
+            if search.by == ChosenBy::Sender { SENDER_SAMPLE_SIZE } else { PLACEMENT_NODE_SAMPLE_SIZE };
         let considered = allowed.iter().enumerate().filter(|(position, backend)| {
             let caches_part = || {
                 search.prompt.is_some_and(|prompt| self.prefixes.caches_shared_part(&backend.id, prompt, now))
@@ -120,7 +121,7 @@
                 same_zone: &backend.zone == search.zone,
                 slots: backend.slots,
                 load: self.load(&backend.id, search.by, &estimates, now),
-                reading: search
+                prefill: search
                     .prompt
                     .map(|prompt| self.prefill_work(&backend.id, preferred_back_end, prompt, now)),
                 slowness: factors.for_backend(&backend.id),
@@ -131,7 +132,7 @@
 
     fn health(&self, backend: &Backend, by: ChosenBy, now: Instant) -> HealthView {
         let own = self.health.view(&backend.id, now);
-        let is_reported = || by == ChosenBy::Placer && self.reports.is_confirmed(&backend.id, now);
+        let is_reported = || by == ChosenBy::PlacementNode && self.reports.is_confirmed(&backend.id, now);
         let is_cut_off = || {
             self.unreachable_zones.contains(&backend.zone)
                 && !self.health.is_responsive(&backend.id, running::now())
@@ -167,7 +168,7 @@
     ) -> OpenLoad {
         let reported_load = self.loads.total(backend);
         match (by, estimates.tokens_per_ms()) {
-            (ChosenBy::Placer, Some(speed)) => {
+            (ChosenBy::PlacementNode, Some(speed)) => {
                 let prompt_tokens = (self.queues.prefill_left_ms(backend, now) * speed) as u64;
                 OpenLoad {
                     prompt_tokens,
--- a/crates/beamwall-gateway/src/choice.rs
+++ b/crates/beamwall-gateway/src/choice.rs
@@ -40,7 +40,7 @@
     /// Open requests of all nodes at this back end.
     pub load: OpenLoad,
     /// Prefill work that the request's prompt would cause there; `None` for plain calls.
-    pub reading: Option<PrefillWork>,
+    pub prefill: Option<PrefillWork>,
     /// Factor by which it is slower than its service usually is.
     pub slowness: f64,
     /// Recent health.
@@ -49,9 +49,9 @@
 
 impl Candidate {
     /// Inputs of the model for the time to the first event at this back end.
-    fn first_event(&self, reading: PrefillWork) -> FirstEventInputs {
+    fn first_event(&self, prefill: PrefillWork) -> FirstEventInputs {
         let running = self.load.requests.min(self.slots);
-        FirstEventInputs { prefill: reading, tokens_ahead: self.load.prompt_tokens, running }
+        FirstEventInputs { prefill, tokens_ahead: self.load.prompt_tokens, running }
     }
 
     /// Number of requests that would wait for a slot, including this one.
@@ -63,12 +63,12 @@
     /// not trained.
     pub fn expected_ms(&self, expectation: &Expectation<'_>) -> Option<f64> {
         let estimates = expectation.estimates;
-        let answer_ms = match self.reading {
-            Some(reading) => estimates.first_event_ms(self.first_event(reading))?,
+        let answer_ms = match self.prefill {
+            Some(prefill) => estimates.first_event_ms(self.first_event(prefill))?,
             None => estimates.plain_call_ms(self.load.requests)?,
         };
         let slot_ms = estimates.stream_ms().unwrap_or(UNTRAINED_SLOT_MS) / f64::from(self.slots.max(1));
-        let wait_ms = if self.reading.is_some() { f64::from(self.waiting()) * slot_ms } else { 0.0 };
+        let wait_ms = if self.prefill.is_some() { f64::from(self.waiting()) * slot_ms } else { 0.0 };
         Some((answer_ms + wait_ms) * self.slowness)
     }
 
@@ -76,7 +76,7 @@
     /// 1.
     fn event_gap_excess(&self, expectation: &Expectation<'_>) -> f64 {
         let gap_ms = expectation.estimates.event_gap_ms(self.load.requests.min(self.slots));
-        match (self.reading, gap_ms, expectation.pause_objective_ms) {
+        match (self.prefill, gap_ms, expectation.pause_objective_ms) {
             (Some(_), Some(gap_ms), Some(objective_ms)) => {
                 (gap_ms * self.slowness / objective_ms as f64 - 1.0).clamp(0.0, 1.0)
             }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -189,7 +189,7 @@
             chosen_by: choice.chosen_by.to_string(),
             cost_ms: format!("{:.1}", choice.cost_ms),
             expected_ms: choice.expected_ms.map(|expected| format!("{expected:.1}")).unwrap_or_default(),
-            unread_tokens: choice.reading.tokens.to_string(),
+            unread_tokens: choice.prefill.tokens.to_string(),
             tokens_ahead: choice.tokens_ahead.to_string(),
             open_requests: choice.open_requests.to_string(),
             failure_share: format!("{:.2}", choice.failure_share),
@@ -341,7 +341,7 @@
             group: engine_query.group,
             avoided: &avoided,
             versions: versions.as_ref(),
-            by: ChosenBy::Placer,
+            by: ChosenBy::PlacementNode,
         };
         let choice = self.find(search, engine_query.pause_objective_ms)?;
         let estimates = self.estimates(&engine_query.service);
@@ -350,7 +350,7 @@
         if !is_placed {
             return Some(choice);
         }
-        if let Some(prefill_ms) = estimates.prefill_ms(choice.reading) {
+        if let Some(prefill_ms) = estimates.prefill_ms(choice.prefill) {
             self.backend_state.queues.add(&choice.backend, prefill_ms, now);
         }
         self.backend_state.prefixes.note_prefill(&choice.backend, &engine_query.prompt, now);
@@ -404,7 +404,7 @@
             cost_ms,
             expected_ms: chosen.expected_ms(&expectation),
             slowness: chosen.slowness,
-            reading: chosen.reading.unwrap_or_default(),
+            prefill: chosen.prefill.unwrap_or_default(),
             tokens_ahead: chosen.load.prompt_tokens,
             open_requests: chosen.load.requests,
             failure_share: chosen.health.failure_share,
--- a/crates/beamwall-gateway/src/placement.rs
+++ b/crates/beamwall-gateway/src/placement.rs
@@ -83,7 +83,7 @@
     /// Factor by which it is slower than its service usually is; already included in the expected time.
     pub slowness: f64,
     /// Prefill work of the prompt.
-    pub reading: PrefillWork,
+    pub prefill: PrefillWork,
     /// Tokens of other prompts that it prefills first.
     pub tokens_ahead: u64,
     /// Open requests at the back end.
@@ -112,7 +112,7 @@
     /// Inputs of the model for the time to the first event at this back end.
     pub fn first_event(&self) -> FirstEventInputs {
         FirstEventInputs {
-            prefill: self.reading,
+            prefill: self.prefill,
             tokens_ahead: self.tokens_ahead,
             running: self.open_requests,
         }
--- a/crates/beamwall-gateway/src/quarantine.rs
+++ b/crates/beamwall-gateway/src/quarantine.rs
@@ -66,7 +66,7 @@
 /// Quarantine of one node: holds requests suspected of terminating back ends.
 pub struct Quarantine {
     /// Suspects and held requests.
-    pub book: Arc<QuarantineRegistry>,
+    pub registry: Arc<QuarantineRegistry>,
     /// Notified when this node has evidence that its peers should receive.
     pub peer_notify: Notify,
     lost_responses: LostResponses,
@@ -81,7 +81,7 @@
 impl Quarantine {
     /// Creates the quarantine of one node.
     pub fn new(
-        book: Arc<QuarantineRegistry>,
+        registry: Arc<QuarantineRegistry>,
         pool: Pool,
         backends: Arc<dyn BackendLookup>,
         clock: Arc<FleetClock>,
@@ -89,7 +89,7 @@
     ) -> Self {
         let (peer_notify, lost_responses) = (Notify::new(), LostResponses::default());
         let trial_throttle = Throttle::default();
-        Self { book, peer_notify, lost_responses, pool, backends, clock, trials, trial_throttle }
+        Self { registry, peer_notify, lost_responses, pool, backends, clock, trials, trial_throttle }
     }
 
     /// The time used in evidence, in milliseconds since 1970.
@@ -103,7 +103,7 @@
         if !self.is_held(request) {
             return Ok(Admission::Normal);
         }
-        match self.book.request_status(request, self.now_ms()) {
+        match self.registry.request_status(request, self.now_ms()) {
             RequestStatus::Free => Ok(Admission::Normal),
             RequestStatus::Held { endings, retry_after } => Err(HeldRequest { endings, retry_after }),
             RequestStatus::TrialDue { number, endings, is_in_doubt } => {
@@ -123,19 +123,19 @@
             return false;
         }
         emit(&TrialGranted { fingerprint: request.to_string(), number: number.to_string() });
-        self.book.note_trial(request, number, now_ms);
+        self.registry.note_trial(request, number, now_ms);
         self.peer_notify.notify_one();
         true
     }
 
     /// Whether a request is held now, so that it must not be sent again.
     pub fn is_held(&self, request: &Fingerprint) -> bool {
-        self.book.is_held(request)
+        self.registry.is_held(request)
     }
 
     /// Records that a back end completed a request and is therefore alive.
     pub fn note_completed(&self, request: &Fingerprint) {
-        if self.book.is_suspected(request) && self.book.note_completion(request, self.now_ms()) {
+        if self.registry.is_suspected(request) && self.registry.note_completion(request, self.now_ms()) {
             self.publish_changes();
         }
     }
@@ -159,7 +159,7 @@
     /// termination, also waits until the probe of this back end has ended; otherwise the next back end would
     /// be sent the request in the meantime.
     pub async fn note_lost_and_wait(self: &Arc<Self>, request: Fingerprint, backend: &BackendId) {
-        let was_suspected = self.book.is_suspected(&request);
+        let was_suspected = self.registry.is_suspected(&request);
         self.note_lost(request, backend);
         while was_suspected && self.lost_responses.is_probed(backend) && !self.is_held(&request) {
             tokio::time::sleep(PROBE_POLL_INTERVAL).await;
@@ -187,7 +187,7 @@
             return;
         }
         if open.is_empty() {
-            self.book.note_unattributed_termination(backend, self.now_ms());
+            self.registry.note_unattributed_termination(backend, self.now_ms());
         } else {
             self.record_termination(backend, open);
         }
@@ -207,7 +207,7 @@
     pub async fn next_unpublished(&self) -> Evidence {
         loop {
             self.peer_notify.notified().await;
-            let unsent = self.book.take_unsent();
+            let unsent = self.registry.take_unsent();
             if !unsent.is_empty() {
                 return unsent;
             }
@@ -216,21 +216,21 @@
 
     /// Merges evidence received from peers; returns the part that was new to this node.
     pub fn merge_evidence(&self, evidence: Evidence) -> Evidence {
-        let new = self.book.merge_evidence(evidence, self.now_ms());
+        let new = self.registry.merge_evidence(evidence, self.now_ms());
         self.log_changes();
         new
     }
 
     /// Removes expired evidence.
     pub fn remove_expired(&self) {
-        self.book.remove_expired(self.now_ms());
+        self.registry.remove_expired(self.now_ms());
         self.log_changes();
     }
 
     fn record_termination(&self, backend: &BackendId, open: Vec<Fingerprint>) {
         let requests: Vec<String> = open.iter().map(Fingerprint::to_string).collect();
         emit(&BackendEnded { backend: backend.to_string(), open: requests.join(",") });
-        self.book.note_termination(backend, open, self.now_ms());
+        self.registry.note_termination(backend, open, self.now_ms());
         self.publish_changes();
     }
 
@@ -241,7 +241,7 @@
 
     /// Logs which requests became held and which were released.
     pub fn log_changes(&self) {
-        let changes = self.book.take_changes();
+        let changes = self.registry.take_changes();
         for (request, held) in changes.held {
             emit(&RequestHeld {
                 fingerprint: request.to_string(),
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -33,7 +33,7 @@
     let mut next = attempts.first_choice(forwarder, call).await;
     while let Some(choice) = next {
         if attempts.tried.len() == 1 {
-            forwarder.demand.note_request(&call.service, &call.route.name, choice.reading);
+            forwarder.demand.note_request(&call.service, &call.route.name, choice.prefill);
             check_servable(forwarder, call, &choice)?;
         }
         let failed = match start_attempt(forwarder, call, &choice, call.last_event, &mut attempts).await {
--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -17,7 +17,7 @@
         cost_ms: 0.0,
         expected_ms: estimates.first_event_ms(FirstEventInputs { prefill, tokens_ahead, running: 3 }),
         slowness: 1.0,
-        reading: prefill,
+        prefill,
         tokens_ahead,
         open_requests: 3,
         failure_share: 0.0,
--- a/crates/beamwall-gateway/tests/back_end_restart.rs
+++ b/crates/beamwall-gateway/tests/back_end_restart.rs
@@ -33,7 +33,7 @@
         group: EngineGroup::WHOLE,
         avoided: &[],
         versions: None,
-        by: ChosenBy::Placer,
+        by: ChosenBy::PlacementNode,
     };
     let mut candidates = backend_state.candidates(directory, search);
     assert_eq!(candidates.len(), 1);
@@ -74,7 +74,7 @@
     assert_eq!(before.load.requests, 8, "seven were reported, one is placed and not reported yet");
     // The shared parts are assumed cached in either case; the request's own part only at the process that
     // prefilled it.
-    assert_eq!(before.reading.expect("a prompt").tokens, 0);
+    assert_eq!(before.prefill.expect("a prompt").tokens, 0);
 
     let changes = vec![DirectoryChange::Changed(backend_started_at(2))];
     directory.apply(1, DirectoryChanges { revision: 2, changes }, RemovalCause::Gone);
@@ -86,5 +86,5 @@
     assert_eq!(after.backend, backend_started_at(2).id);
     assert_eq!((after.load, after.slowness), (OpenLoad::default(), 1.0));
     assert!(!after.health.unreachable && after.health.failure_share == 0.0);
-    assert_eq!(after.reading.expect("a prompt").tokens, 1_000);
+    assert_eq!(after.prefill.expect("a prompt").tokens, 1_000);
 }
--- a/crates/beamwall-gateway/tests/choice.rs
+++ b/crates/beamwall-gateway/tests/choice.rs
@@ -22,7 +22,7 @@
         same_zone: true,
         slots: 128,
         load: OpenLoad::default(),
-        reading: Some(uncached(1_000)),
+        prefill: Some(uncached(1_000)),
         slowness: 1.0,
         health: HealthView::default(),
     }
@@ -52,7 +52,7 @@
 
 #[test]
 fn an_engine_with_the_prompt_cached_is_chosen_until_it_is_busy() {
-    let cached = Candidate { reading: Some(uncached(0)), ..candidate("cached") };
+    let cached = Candidate { prefill: Some(uncached(0)), ..candidate("cached") };
     assert_eq!(chosen(&[candidate("other"), cached.clone()]), "cached");
     let busy = Candidate { load: OpenLoad { requests: 10, prompt_tokens: 40_000 }, ..cached };
     assert_eq!(chosen(&[candidate("other"), busy]), "other");
@@ -90,7 +90,7 @@
                 Ok(Candidate {
                     same_zone: random.arbitrary()?,
                     load,
-                    reading: random
+                    prefill: random
                         .arbitrary::<bool>()?
                         .then_some(uncached(random.int_in_range(0..=30_000)?)),
                     slowness: f64::from(random.int_in_range(5..=50_u32)?) / 10.0,
--- a/crates/beamwall-gateway/tests/differential.rs
+++ b/crates/beamwall-gateway/tests/differential.rs
@@ -89,7 +89,7 @@
                 requests: 0,
                 prompt_tokens: ((self.free_at_ms[engine] - now_ms).max(0.0) * speed) as u64,
             },
-            reading: Some(self.prefill(engine, session, tokens)),
+            prefill: Some(self.prefill(engine, session, tokens)),
             slowness: 1.0,
             health: HealthView::default(),
         };
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -62,7 +62,7 @@
         group,
         avoided: &[],
         versions: None,
-        by: ChosenBy::Placer,
+        by: ChosenBy::PlacementNode,
     };
     let candidates = backend_state.candidates(directory, search);
     let estimates = backend_state.models.estimates(search.service);
--- a/crates/beamwall-gateway/tests/quarantine.rs
+++ b/crates/beamwall-gateway/tests/quarantine.rs
@@ -73,6 +73,6 @@
     for name in names {
         quarantine.note_terminated(&BackendId::new(name));
     }
-    assert_eq!(quarantine.book.suspects(), 0);
+    assert_eq!(quarantine.registry.suspects(), 0);
     assert_eq!(quarantine.admit(&request()).await, Ok(Admission::Normal));
 }
--- a/crates/beamwall-gateway/tests/slow_engines.rs
+++ b/crates/beamwall-gateway/tests/slow_engines.rs
@@ -87,7 +87,7 @@
             group: EngineGroup::WHOLE,
             avoided: &[],
             versions: None,
-            by: ChosenBy::Placer,
+            by: ChosenBy::PlacementNode,
         };
         let candidates = self.placement_node.candidates(&self.directory, search);
         let estimates = self.placement_node.models.estimates(search.service);
--- a/crates/beamwall-gateway/tests/slow_versions.rs
+++ b/crates/beamwall-gateway/tests/slow_versions.rs
@@ -60,7 +60,7 @@
             cost_ms: 0.0,
             expected_ms: Some(usual_ms * slowness),
             slowness,
-            reading: inputs.prefill,
+            prefill: inputs.prefill,
             tokens_ahead: 0,
             open_requests: 0,
             failure_share: 0.0,
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -148,7 +148,7 @@
         for (kind, bytes) in traffic.sent_bytes_by_kind() {
             self.peer_sent_bytes_by_kind.with_label_values(&[kind]).set(bytes as f64);
         }
-        let book = &gateway.forwarder.quarantine.book;
+        let book = &gateway.forwarder.quarantine.registry;
         self.requests_held.set(book.held().len() as i64);
         self.requests_suspected.set(book.suspects() as i64);
         self.peers_ended_abruptly.set(exchange.peer_lives.ended_abruptly() as i64);
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/placing.rs
@@ -131,8 +131,8 @@
     PlacementReply {
         backend: choice.backend.to_string(),
         cost_ms: choice.cost_ms,
-        unread_tokens: choice.reading.tokens,
-        unread_pairs: choice.reading.pairs,
+        unread_tokens: choice.prefill.tokens,
+        unread_pairs: choice.prefill.pairs,
         tokens_ahead: choice.tokens_ahead,
         expected_ms: choice.expected_ms,
         slowness: choice.slowness,
@@ -146,7 +146,7 @@
     Choice {
         backend: BackendId::new(&reply.backend),
         cost_ms: reply.cost_ms,
-        reading: PrefillWork { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
+        prefill: PrefillWork { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
         tokens_ahead: reply.tokens_ahead,
         expected_ms: reply.expected_ms,
         // Earlier builds tell none.
--- a/crates/beamwall-node/src/gateway/quarantine_news.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_news.rs
@@ -37,7 +37,7 @@
 
     /// The digest of what is known of requests under which back ends end; 0 for nothing.
     pub(super) fn quarantine_digest(&self) -> u64 {
-        self.gateway.forwarder.quarantine.book.digest()
+        self.gateway.forwarder.quarantine.registry.digest()
     }
 
     /// Takes the digest of what a peer knows, and asks for it where it is another.
@@ -53,7 +53,7 @@
 
     /// Tells a peer all that is known here, as soon as the link has room for it: until then its next question comes.
     pub(super) fn answer_quarantine(&self, envelope: &Envelope) {
-        let whole = encode(&self.gateway.forwarder.quarantine.book.all_evidence());
+        let whole = encode(&self.gateway.forwarder.quarantine.registry.all_evidence());
         if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
             self.reply(envelope, Body::QuarantineNews(whole));
         }
