--- a/crates/beamwall-gateway/src/attempts.rs
+++ b/crates/beamwall-gateway/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::AttemptFailed;
 use beamwall_model::BackendId;
@@ -203,7 +203,7 @@
         let abandoned = self.abandoned.clone()?;
         while self.returns < MAX_RETURNS {
             if self.returns > 0 {
-                running::sleep(RETURN_DELAY).await;
+                process_clock::sleep(RETURN_DELAY).await;
             }
             self.returns += 1;
             if !self.may_return(forwarder, call, &abandoned.backend) {
--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -171,7 +171,7 @@
         received: Instant,
         context: &mut ResponseLogContext,
     ) -> Result<Response<Body>, Refusal> {
-        let suspended_before = beamwall_clock::asleep();
+        let suspended_before = beamwall_clock::suspended_time();
         if policy.version() == 0 {
             return Err(Refusal::NotReady);
         }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::{CallerGone, StreamBroken, StreamContinued, StreamFinished};
 use beamwall_http::{Body, BodySender, channel};
@@ -121,7 +121,7 @@
             };
             match piece {
                 Piece::Events(events) => {
-                    let now = running::now();
+                    let now = process_clock::now();
                     self.forwarder.backend_state.health.note_activity(&source.choice.backend, now);
                     let batch = scan_events(&events);
                     match &mut gap_meter {
@@ -151,7 +151,7 @@
     }
 
     fn record_whole_stream(&self, gap_meter: &EventGapMeter, source: &Source) {
-        let now = running::now();
+        let now = process_clock::now();
         if let Some(mean_gap_ms) = gap_meter.final_gap_ms(now) {
             self.record_mean_gap(source, mean_gap_ms);
         }
@@ -176,7 +176,7 @@
             if !can_fail_over {
                 return std::future::pending().await;
             }
-            running::sleep(SILENCE_TIMEOUT).await;
+            process_clock::sleep(SILENCE_TIMEOUT).await;
             failover::reserve_next_back_end(forwarder, call, attempts, attempts.sent, &silent_backend).await
         };
         tokio::select! {
--- a/crates/beamwall-http/tests/pool.rs
+++ b/crates/beamwall-http/tests/pool.rs
@@ -65,7 +65,7 @@
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
     send_request(&pool, server.address).await;
     send_request(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEEP_ALIVE / 4);
+    beamwall_clock::simulation::simulate_suspension(KEEP_ALIVE / 4);
     send_request(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 1);
 }
@@ -74,7 +74,7 @@
 async fn a_connection_whose_keep_alive_ended_during_suspension_is_not_reused() {
     let (server, pool) = (Server::start().await, Pool::new(CONNECT_LIMIT));
     send_request(&pool, server.address).await;
-    beamwall_clock::simulation::suspend_for(KEEP_ALIVE);
+    beamwall_clock::simulation::simulate_suspension(KEEP_ALIVE);
     send_request(&pool, server.address).await;
     assert_eq!(*server.connections.lock().await, 2, "the server may have closed the first connection");
 }
--- a/crates/beamwall-store/src/lease.rs
+++ b/crates/beamwall-store/src/lease.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::Moment;
+use beamwall_clock::BootInstant;
 use beamwall_model::NodeId;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -93,14 +93,14 @@
     /// The last observed epoch.
     pub epoch: u64,
     /// End of the term of this node; `None` if it is not the holder.
-    pub valid_until: Option<Moment>,
+    pub valid_until: Option<BootInstant>,
 }
 
 impl LeaseState {
     /// The epoch under which this node may act now; `None` if its term has expired or is about to.
     pub fn held_epoch(&self) -> Option<u64> {
         let until = self.valid_until?;
-        (Moment::now() + SAFETY_MARGIN < until).then_some(self.epoch)
+        (BootInstant::now() + SAFETY_MARGIN < until).then_some(self.epoch)
     }
 }
 
@@ -114,7 +114,7 @@
     saved_change_count: u64,
     store: Arc<dyn VersionedObjects>,
     state: watch::Sender<LeaseState>,
-    observed: Option<(Version, Moment)>,
+    observed: Option<(Version, BootInstant)>,
     /// The highest observed epoch. A used epoch is never used again, whatever another writer writes to the
     /// object.
     highest_epoch: u64,
@@ -179,7 +179,7 @@
     /// Waits until the next step is due.
     pub async fn pause(&self) {
         let since = Instant::now();
-        if self.current_epoch(Moment::now()).is_none() {
+        if self.current_epoch(BootInstant::now()).is_none() {
             return tokio::time::sleep(self.poll_delay()).await;
         }
         tokio::time::sleep(CHECKPOINT_PERIOD).await;
@@ -201,7 +201,7 @@
 
     /// Reads the lease if this node does not hold it, and renews or acquires it if that is due.
     pub async fn step(&mut self) -> Result<(), ObjectError> {
-        let sent = Moment::now();
+        let sent = BootInstant::now();
         if let Some(version) = self.held_version.take()
             && let Some(epoch) = self.current_epoch(sent)
         {
@@ -218,7 +218,7 @@
         if self.unchanged_for() >= self.takeover_wait(&record) {
             let epoch = self.highest_epoch + 1;
             self.checkpoint.restore(&record.checkpoint);
-            return self.write(object.version, epoch, Moment::now()).await;
+            return self.write(object.version, epoch, BootInstant::now()).await;
         }
         Ok(())
     }
@@ -227,12 +227,12 @@
     /// same after a restart, while the earlier process may have orders in flight.
     fn is_holder(&self, record: &LeaseRecord) -> bool {
         let state = self.state.borrow();
-        let current = state.valid_until.is_some_and(|until| Moment::now() < until);
+        let current = state.valid_until.is_some_and(|until| BootInstant::now() < until);
         record.holder == self.node.as_str() && record.epoch == state.epoch && current
     }
 
     /// The epoch held by this process, unless its term has expired.
-    fn current_epoch(&self, now: Moment) -> Option<u64> {
+    fn current_epoch(&self, now: BootInstant) -> Option<u64> {
         let state = self.state.borrow();
         let until = state.valid_until?;
         (now < until).then_some(state.epoch)
@@ -247,7 +247,7 @@
     fn observe_record(&mut self, object: &Object, record: &LeaseRecord) {
         self.highest_epoch = self.highest_epoch.max(record.epoch);
         if self.observed.is_none_or(|(version, _)| version != object.version) {
-            self.observed = Some((object.version, Moment::now()));
+            self.observed = Some((object.version, BootInstant::now()));
         }
         let state = LeaseState { holder: record.holder.clone(), epoch: record.epoch, valid_until: None };
         self.state.send_if_modified(|current| {
@@ -261,7 +261,7 @@
         self.observed.map_or(Duration::ZERO, |(_, since)| since.elapsed())
     }
 
-    async fn write(&mut self, expected: Version, epoch: u64, sent: Moment) -> Result<(), ObjectError> {
+    async fn write(&mut self, expected: Version, epoch: u64, sent: BootInstant) -> Result<(), ObjectError> {
         self.renewal += 1;
         let change_count = self.checkpoint.change_count();
         let record = LeaseRecord {
--- a/crates/beamwall-store/tests/lease.rs
+++ b/crates/beamwall-store/tests/lease.rs
@@ -85,7 +85,7 @@
     first.step().await.expect("the platform responds");
     assert_eq!(first_state.borrow().held_epoch(), Some(1));
     // The machine is suspended, and its monotonic clock does not advance meanwhile.
-    beamwall_clock::simulation::suspend_for(LEASE_TTL);
+    beamwall_clock::simulation::simulate_suspension(LEASE_TTL);
     assert_eq!(first_state.borrow().held_epoch(), None, "the term includes the suspension");
     // Its next step does not renew the lease: another node may have held it meanwhile.
     first.step().await.expect("the platform responds");
@@ -115,7 +115,7 @@
         for _ in 0..STEPS_PER_GENERATION {
             lease.step().await.expect("the platform responds");
             held = held.or(state.borrow().held_epoch());
-            beamwall_clock::simulation::suspend_for(STEP);
+            beamwall_clock::simulation::simulate_suspension(STEP);
         }
         let held = held.unwrap_or_else(|| panic!("generation {generation} never held the lease"));
         assert!(held > epoch, "each generation must get a new epoch");
@@ -159,7 +159,7 @@
     let mut waited = Duration::ZERO;
     while state.borrow().held_epoch().is_none() {
         assert!(waited < TAKEOVER_WAIT * 3, "the lease is never acquired");
-        beamwall_clock::simulation::suspend_for(STEP);
+        beamwall_clock::simulation::simulate_suspension(STEP);
         waited += STEP;
         lease.step().await.expect("the platform responds");
     }
