--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -123,7 +123,7 @@
     };
     let request = build_request(forwarder, call, &target.instance, last_event);
     let work = forwarder.backend_state.loads.open(backend, choice.prefill.tokens);
-    let (sent_at, stood_still) = (Instant::now(), process_clock::stall_time());
+    let (sent_at, stall_before) = (Instant::now(), process_clock::stall_time());
     let sent = timers::timeout(limit, forwarder.pool.send(target.address, request)).await;
     let result = match sent {
         None => Err(AttemptFailure::timed_out(limit)),
@@ -140,7 +140,7 @@
     };
     // While this process was stalled, a response may have arrived without being read, so the timeout says
     // nothing about the back end.
-    let had_full_timeout = process_clock::stall_time().saturating_sub(stood_still) < MAX_TOLERATED_STALL;
+    let had_full_timeout = process_clock::stall_time().saturating_sub(stall_before) < MAX_TOLERATED_STALL;
     if !had_full_timeout && result.as_ref().is_err_and(|failure| failure.timed_out) {
         return result;
     }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -91,8 +91,8 @@
     /// Time left until the deadline. It is sent to engines, so it keeps running while the machine is
     /// suspended.
     pub fn remaining(&self) -> Duration {
-        let asleep = beamwall_clock::suspended_time().saturating_sub(self.suspended_before);
-        self.deadline.saturating_duration_since(Instant::now()).saturating_sub(asleep)
+        let suspended = beamwall_clock::suspended_time().saturating_sub(self.suspended_before);
+        self.deadline.saturating_duration_since(Instant::now()).saturating_sub(suspended)
     }
 
     /// Waits until the deadline, also across a suspension of the machine: a caller that still waits gets a
--- a/crates/beamwall-gateway/src/usage.rs
+++ b/crates/beamwall-gateway/src/usage.rs
@@ -118,10 +118,10 @@
     }
 
     /// Merges the counts of one generation of another node. Counts only grow.
-    pub fn merge(&self, node: &NodeId, incarnation: u64, reported: Vec<WindowCounts>) {
+    pub fn merge(&self, node: &NodeId, generation: u64, reported: Vec<WindowCounts>) {
         let mut state = self.lock();
         let has_grown =
-            raise_to_reported(state.peers.entry((node.clone(), incarnation)).or_default(), reported);
+            raise_to_reported(state.peers.entry((node.clone(), generation)).or_default(), reported);
         state.changes += u64::from(has_grown);
         state.remove_stale_generations();
     }
