--- a/crates/beamwall-node/src/gateway/told_figures.rs
+++ b/crates/beamwall-node/src/gateway/counter_deltas.rs
@@ -7,43 +7,43 @@
 use std::hash::Hash;
 
 /// Heartbeats in which a changed figure is told: messages to a busy peer are dropped, but seldom three in a row.
-const TOLD_TIMES: u32 = 3;
+const SENDS_PER_CHANGE: u32 = 3;
 /// Heartbeats from one that tells all figures to the next: who was cut off for longer learns them within three seconds.
-const ALL_TOLD_EVERY: u32 = 3;
+const FULL_REPORT_INTERVAL: u32 = 3;
 
 /// The figures that one node tells.
 #[derive(Debug)]
-pub struct ToldFigures<K> {
-    told: HashMap<K, Told>,
+pub struct CounterDeltas<K> {
+    sent: HashMap<K, SentCounter>,
     heartbeats: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    figure: u64,
-    times: u32,
+struct SentCounter {
+    value: u64,
+    sends: u32,
 }
 
-impl<K> Default for ToldFigures<K> {
+impl<K> Default for CounterDeltas<K> {
     fn default() -> Self {
-        Self { told: HashMap::new(), heartbeats: 0 }
+        Self { sent: HashMap::new(), heartbeats: 0 }
     }
 }
 
-impl<K: Hash + Eq + Clone> ToldFigures<K> {
+impl<K: Hash + Eq + Clone> CounterDeltas<K> {
     /// Of the figures of now those that belong into the next heartbeat. Figures that are not among them are forgotten.
-    pub fn next(&mut self, figures: Vec<(K, u64)>) -> Vec<(K, u64)> {
-        let tells_all = self.heartbeats.is_multiple_of(ALL_TOLD_EVERY);
+    pub fn next_report(&mut self, counters: Vec<(K, u64)>) -> Vec<(K, u64)> {
+        let is_full_report = self.heartbeats.is_multiple_of(FULL_REPORT_INTERVAL);
         self.heartbeats = self.heartbeats.wrapping_add(1);
-        let before = std::mem::take(&mut self.told);
+        let before = std::mem::take(&mut self.sent);
         let mut due = Vec::new();
-        for (key, figure) in figures {
-            let same = before.get(&key).filter(|told| told.figure == figure);
-            let times = same.map_or(0, |told| told.times);
-            let is_told = tells_all || times < TOLD_TIMES;
-            self.told.insert(key.clone(), Told { figure, times: times + u32::from(is_told) });
-            if is_told {
-                due.push((key, figure));
+        for (key, value) in counters {
+            let same = before.get(&key).filter(|sent| sent.value == value);
+            let sends = same.map_or(0, |sent| sent.sends);
+            let is_due = is_full_report || sends < SENDS_PER_CHANGE;
+            self.sent.insert(key.clone(), SentCounter { value, sends: sends + u32::from(is_due) });
+            if is_due {
+                due.push((key, value));
             }
         }
         due
--- a/crates/beamwall-node/src/gateway/listing.rs
+++ b/crates/beamwall-node/src/gateway/directory_reader.rs
@@ -19,63 +19,63 @@
 use tokio::time::Instant;
 
 use crate::actors::directory::{DirectoryActor, UseMeanwhile};
-use crate::gateway::chooser::ZoneChooser;
+use crate::gateway::node_selector::NodeSelector;
 use crate::gateway::store_status::StoreStatus;
+use crate::gateway::store_watch::{BACKENDS, WATCHERS_PER_ZONE};
 use crate::gateway::unreadable_entries::UnreadableEntries;
-use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
 /// Pages that every node reads: 200 back ends at a store that gives 50 a page.
-const READ_BY_ALL: usize = 4;
+const PAGES_READ_BY_ALL: usize = 4;
 /// Pause before the next page once another node is known, until it is known who else has started.
-const INTRODUCTION_TIME: Duration = Duration::from_millis(400);
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(400);
 /// Longest wait for another node: where all start at once on 0.12 of a core, most know the first one after 0.7 to 1.7 s.
-const ALONE_FOR: Duration = Duration::from_millis(2_000);
+const PEER_WAIT_LIMIT: Duration = Duration::from_millis(2_000);
 /// Time between two looks for one.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const PEER_POLL_PERIOD: Duration = Duration::from_millis(50);
 /// Pause between two pages of a node that does not watch for its zone, so that 300 of them ask for 600 pages a second at most.
-const LEFT_TO_PEERS: Duration = Duration::from_millis(500);
+const PAGE_PAUSE: Duration = Duration::from_millis(500);
 /// Times that a page after the first is asked for.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 /// Longest pause after a page was refused, a random part of which is waited; it doubles with each further try.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why the list is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Purpose {
+pub enum ReadPurpose {
     /// No list is known here.
-    Anew,
+    Initial,
     /// The list held here is doubted or can't be followed on, so that it is no reason to leave the rest unread.
-    Review,
+    Reread,
 }
 
 /// What a reading came to.
 #[derive(Debug)]
-pub enum Listed {
+pub enum ListRead {
     /// The whole list was read.
     Whole(DirectorySnapshot),
     /// A peer told a list of this revision, at least as new as the one that was being read.
-    ToldByPeer(u64),
+    FromPeer(u64),
 }
 
 /// Reads the list.
-pub struct Listing {
+pub struct DirectoryReader {
     /// The store.
     pub store: Arc<dyn ControlStore>,
     /// The list as known here.
-    pub known: Arc<ArcSwap<Directory>>,
+    pub current: Arc<ArcSwap<Directory>>,
     /// Takes what was read of the first list.
-    pub directory: ActorRef<DirectoryActor>,
+    pub directory_updates: ActorRef<DirectoryActor>,
     /// Who watches.
-    pub chooser: ZoneChooser,
+    pub selector: NodeSelector,
     /// Told when the store refuses a page.
     pub status: Arc<StoreStatus>,
     /// Told of entries that can't be read.
     pub unreadable: Arc<UnreadableEntries>,
 }
 
-impl Listing {
+impl DirectoryReader {
     /// Reads all pages, or as many as it takes until a peer has told the list.
-    pub async fn read(&self, purpose: Purpose) -> Result<Listed, ControlStoreError> {
+    pub async fn read(&self, purpose: ReadPurpose) -> Result<ListRead, ControlStoreError> {
         let first = self.store.backends(None).await?;
         self.unreadable.note(&first.unreadable);
         // What changes between two pages is seen by the watch from the first page's revision.
@@ -83,11 +83,14 @@
         let mut last = first.last;
         let mut pages = 1;
         while let Some(after) = last {
-            self.use_meanwhile(&snapshot).await;
-            self.leave_to_peers(pages).await;
-            let told = self.known.load().revision();
-            if purpose == Purpose::Anew && pages >= READ_BY_ALL && told >= snapshot.revision {
-                return Ok(Listed::ToldByPeer(told));
+            self.use_partial_list(&snapshot).await;
+            self.wait_for_peers(pages).await;
+            let peer_revision = self.current.load().revision();
+            if purpose == ReadPurpose::Initial
+                && pages >= PAGES_READ_BY_ALL
+                && peer_revision >= snapshot.revision
+            {
+                return Ok(ListRead::FromPeer(peer_revision));
             }
             let next = self.page_after(&after).await?;
             if next.last.as_ref() == Some(&after) {
@@ -98,7 +101,7 @@
             last = next.last;
             pages += 1;
         }
-        Ok(Listed::Whole(snapshot))
+        Ok(ListRead::Whole(snapshot))
     }
 
     /// Reads a list that may be seconds old; gives a number that is equal for lists of equal contents.
@@ -116,48 +119,48 @@
     }
 
     /// Lets callers be served by what was read so far, where no whole list is known.
-    async fn use_meanwhile(&self, read: &DirectorySnapshot) {
-        if !self.known.load().is_whole() {
+    async fn use_partial_list(&self, read: &DirectorySnapshot) {
+        if !self.current.load().is_whole() {
             // The actor ends only with the node.
-            let _ = self.directory.tell(UseMeanwhile { read: read.backends.clone() }).await;
+            let _ = self.directory_updates.tell(UseMeanwhile { read: read.backends.clone() }).await;
         }
     }
 
-    async fn leave_to_peers(&self, pages: usize) {
-        if pages == READ_BY_ALL {
-            self.wait_introduced().await;
+    async fn wait_for_peers(&self, pages: usize) {
+        if pages == PAGES_READ_BY_ALL {
+            self.wait_for_membership().await;
         }
-        if pages >= READ_BY_ALL && !self.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE) {
-            tokio::time::sleep(LEFT_TO_PEERS).await;
+        if pages >= PAGES_READ_BY_ALL && !self.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE) {
+            tokio::time::sleep(PAGE_PAUSE).await;
         }
     }
 
     /// Waits until others are known: else each of a fleet that starts at once would take itself for the one that reads on.
-    async fn wait_introduced(&self) {
-        let until = Instant::now() + ALONE_FOR;
-        while !self.chooser.knows_others() && Instant::now() < until {
-            tokio::time::sleep(LOOK_PERIOD).await;
+    async fn wait_for_membership(&self) {
+        let until = Instant::now() + PEER_WAIT_LIMIT;
+        while !self.selector.knows_other_nodes() && Instant::now() < until {
+            tokio::time::sleep(PEER_POLL_PERIOD).await;
         }
-        tokio::time::sleep(INTRODUCTION_TIME).await;
+        tokio::time::sleep(MEMBERSHIP_SETTLE_TIME).await;
     }
 
     /// Reads the page after an entry, in several tries where the store refuses it.
     async fn page_after(&self, after: &str) -> Result<DirectoryPage, ControlStoreError> {
         let mut pause = FIRST_PAUSE;
-        for _ in 1..TRIES {
+        for _ in 1..MAX_ATTEMPTS {
             match self.store.backends(Some(after)).await {
                 Err(error @ ControlStoreError::Unavailable(_)) => {
                     self.status.note_failure(BACKENDS, &error.to_string());
                 }
                 answered => return answered,
             }
-            tokio::time::sleep(random_part(pause)).await;
+            tokio::time::sleep(random_fraction(pause)).await;
             pause *= 2;
         }
         self.store.backends(Some(after)).await
     }
 }
 
-fn random_part(longest: Duration) -> Duration {
+fn random_fraction(longest: Duration) -> Duration {
     longest.mul_f64(rand::rng().random())
 }
--- a/crates/beamwall-node/src/gateway/directories.rs
+++ b/crates/beamwall-node/src/gateway/directory_sync.rs
@@ -15,12 +15,12 @@
 use tokio::time::Instant;
 
 use crate::actors::directory::{ApplyTold, TakeSnapshot};
-use crate::gateway::directory_wire::{self, ToldDirectory};
-use crate::gateway::exchange::{ANSWER_LIMIT, Exchange, OWN_WATCH_TIME};
-use crate::gateway::heard_versions::{pause_for_busy, to_busy_ms};
-use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
+use crate::gateway::directory_wire::{self, DirectoryUpdate};
+use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
+use crate::gateway::peer_versions::{pause_for_busy, to_busy_ms};
+use crate::gateway::store_watch::{BACKENDS, WATCHERS_PER_ZONE};
 
-impl Exchange {
+impl PeerExchange {
     /// What a peer lacks of the list held here, or when to ask again.
     pub(super) fn answer_directory(&self, request: DirectoryRequest) -> DirectoryAnswer {
         let directory = self.directory.load();
@@ -28,9 +28,9 @@
         let may_read_whole_only = request.held_revision == 0 && !request.reads_names;
         let changes = directory.changes_since(request.held_revision).filter(|_| !may_read_whole_only);
         if let Some(changes) = changes {
-            return directory_wire::encode(&ToldDirectory::Changes(changes));
+            return directory_wire::encode(&DirectoryUpdate::Changes(changes));
         }
-        let whole = directory_wire::encode_for(&request, &ToldDirectory::Whole(directory.snapshot()));
+        let whole = directory_wire::encode_for(&request, &DirectoryUpdate::Whole(directory.snapshot()));
         match self.transfers.admit(whole.encoded_len(), Instant::now()) {
             Ok(()) => whole,
             Err(wait) => DirectoryAnswer { busy_for_ms: to_busy_ms(wait), ..DirectoryAnswer::default() },
@@ -39,11 +39,11 @@
 
     /// Takes the revision and the digest of the list that a peer holds, and asks for it where they tell of a
     /// newer one.
-    pub(super) fn hear_directory(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
+    pub(super) fn note_directory_revision(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
         let directory = self.directory.load();
         self.gateway.forwarder.knowledge.doubts.note_peer(peer, revision, digest, Instant::now());
         let differs = digest != directory.digest();
-        if differs && self.directories.note(peer, revision, directory.revision()) {
+        if differs && self.directory_versions.note(peer, revision, directory.revision()) {
             tokio::spawn(self.clone().fetch_directory());
         }
     }
@@ -54,10 +54,10 @@
 
     /// Asks peers until this node holds the newest list told, or none that holds it answers.
     async fn fetch_directory(self: Arc<Self>) {
-        if self.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE) {
-            tokio::time::sleep(OWN_WATCH_TIME).await;
+        if self.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE) {
+            tokio::time::sleep(WATCH_HEAD_START).await;
         }
-        while let Some(peer) = self.directories.holder(self.directory_revision()) {
+        while let Some(peer) = self.directory_versions.pick_holder(self.directory_revision()) {
             let held = self.directory_revision();
             let is_taken = match self.ask_for_directory(peer, held).await {
                 Some(answer) if answer.busy_for_ms > 0 => {
@@ -70,16 +70,16 @@
             // What came meanwhile is no fault of the peer: it is asked again from there.
             let has_moved_on = self.directory_revision() != held;
             if !is_taken && !has_moved_on {
-                self.directories.drop_holder(peer);
+                self.directory_versions.remove_holder(peer);
             }
         }
-        self.directories.end_fetching(self.directory_revision());
+        self.directory_versions.finish_fetch(self.directory_revision());
     }
 
     async fn ask_for_directory(&self, peer: SocketAddr, held: u64) -> Option<DirectoryAnswer> {
         let question = self
             .envelope(Body::DirectoryRequest(DirectoryRequest { held_revision: held, reads_names: true }));
-        let answer = self.network.ask(peer, question, ANSWER_LIMIT).await;
+        let answer = self.network.ask(peer, question, ANSWER_TIMEOUT).await;
         match answer.map(|envelope| envelope.body) {
             Ok(Some(Body::DirectoryAnswer(answer))) => Some(answer),
             _ => None,
@@ -91,10 +91,10 @@
         let source = peer.to_string();
         // The actor ends only with the node.
         match directory_wire::decode(answer) {
-            Ok(ToldDirectory::Whole(snapshot)) => {
+            Ok(DirectoryUpdate::Whole(snapshot)) => {
                 self.directory_actor.ask(TakeSnapshot { snapshot, source }).await.unwrap_or(false)
             }
-            Ok(ToldDirectory::Changes(changes)) => {
+            Ok(DirectoryUpdate::Changes(changes)) => {
                 let offer = ApplyTold { held, changes, source };
                 self.directory_actor.ask(offer).await.unwrap_or(false)
             }
--- a/crates/beamwall-node/src/gateway/directory_wire.rs
+++ b/crates/beamwall-node/src/gateway/directory_wire.rs
@@ -34,7 +34,7 @@
 
 /// A list, or what changed in it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ToldDirectory {
+pub enum DirectoryUpdate {
     /// What follows the revision that was held.
     Changes(DirectoryChanges),
     /// All of it.
@@ -75,16 +75,16 @@
 }
 
 /// What is told of a list.
-pub fn encode(told: &ToldDirectory) -> DirectoryAnswer {
+pub fn encode(update: &DirectoryUpdate) -> DirectoryAnswer {
     let mut names = Names::default();
     let mut answer = DirectoryAnswer::default();
-    match told {
-        ToldDirectory::Whole(snapshot) => {
+    match update {
+        DirectoryUpdate::Whole(snapshot) => {
             answer.revision = snapshot.revision;
             answer.listed =
                 snapshot.backends.iter().map(|backend| encode_backend(backend, &mut names)).collect();
         }
-        ToldDirectory::Changes(changes) => {
+        DirectoryUpdate::Changes(changes) => {
             answer.revision = changes.revision;
             answer.is_change = true;
             for change in &changes.changes {
@@ -103,9 +103,9 @@
 
 /// What is told of a list to who asked for it. Builds that read JSON only hold no revision that they would tell, and don't say that
 /// they read names: what they get has both forms, since the first builds that read names don't say so either.
-pub fn encode_for(request: &DirectoryRequest, told: &ToldDirectory) -> DirectoryAnswer {
-    let mut answer = encode(told);
-    if let ToldDirectory::Whole(snapshot) = told
+pub fn encode_for(request: &DirectoryRequest, update: &DirectoryUpdate) -> DirectoryAnswer {
+    let mut answer = encode(update);
+    if let DirectoryUpdate::Whole(snapshot) = update
         && !request.reads_names
     {
         answer.compressed_json = encode_as_json(snapshot);
@@ -146,26 +146,26 @@
 fn decode_json(bytes: &[u8]) -> Result<Vec<Backend>, DirectoryWireError> {
     let backends: Vec<JsonBackend> =
         compressed::decode(bytes).map_err(|error| DirectoryWireError::Json(error.to_string()))?;
-    let backend = |told: JsonBackend| {
-        let instance = InstanceName::new(&told.id);
+    let backend = |json_listed: JsonBackend| {
+        let instance = InstanceName::new(&json_listed.id);
         Backend {
             id: BackendId::of_life(&instance, None),
             instance,
             born_ms: None,
-            service: ServiceName::new(&told.service),
-            address: told.address,
-            zone: ZoneName::new(&told.zone),
+            service: ServiceName::new(&json_listed.service),
+            address: json_listed.address,
+            zone: ZoneName::new(&json_listed.zone),
             version: EngineVersion::new(""),
-            slots: told.slots,
-            draining: told.draining,
-            reclaimable: told.reclaimable,
+            slots: json_listed.slots,
+            draining: json_listed.draining,
+            reclaimable: json_listed.reclaimable,
         }
     };
     Ok(backends.into_iter().map(backend).collect())
 }
 
 /// What was told of a list.
-pub fn decode(answer: &DirectoryAnswer) -> Result<ToldDirectory, DirectoryWireError> {
+pub fn decode(answer: &DirectoryAnswer) -> Result<DirectoryUpdate, DirectoryWireError> {
     let services: Vec<ServiceName> = answer.names.iter().map(ServiceName::new).collect();
     let zones: Vec<ZoneName> = answer.names.iter().map(ZoneName::new).collect();
     let versions: Vec<EngineVersion> = answer.names.iter().map(EngineVersion::new).collect();
@@ -177,12 +177,12 @@
             true => decode_json(&answer.compressed_json)?,
             false => listed.collect::<Result<_, _>>()?,
         };
-        return Ok(ToldDirectory::Whole(DirectorySnapshot { revision: answer.revision, backends }));
+        return Ok(DirectoryUpdate::Whole(DirectorySnapshot { revision: answer.revision, backends }));
     }
     let gone = answer.gone.iter().map(|name| Ok(DirectoryChange::Gone(InstanceName::new(name))));
     let changed = listed.map(|backend| backend.map(DirectoryChange::Changed));
     let changes = gone.chain(changed).collect::<Result<_, _>>()?;
-    Ok(ToldDirectory::Changes(DirectoryChanges { revision: answer.revision, changes }))
+    Ok(DirectoryUpdate::Changes(DirectoryChanges { revision: answer.revision, changes }))
 }
 
 fn decode_backend(
--- a/crates/beamwall-node/src/gateway/drain.rs
+++ b/crates/beamwall-node/src/gateway/drain.rs
@@ -8,23 +8,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 
 /// Time for the balancer, which asks each second, to see twice that the node is not ready. Requests are
 /// taken until then, and no longer: the longest streams need the rest of the limit to end.
-const BALANCER_TIME: Duration = Duration::from_millis(2_400);
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_400);
 /// Part of the limit that the balancer gets at most.
-const BALANCER_PART: u32 = 2;
+const BALANCER_DIVISOR: u32 = 2;
 /// Time kept at the end for the last heartbeat.
-const LAST_BEAT_TIME: Duration = Duration::from_millis(300);
+const FINAL_HEARTBEAT_TIME: Duration = Duration::from_millis(300);
 
 /// Drains a node within `limit`.
 pub async fn run(
     node: &str,
     limit: Duration,
     readiness: &Readiness,
-    exchange: &Exchange,
+    exchange: &PeerExchange,
     stopping: &watch::Sender<bool>,
     callers: &mut JoinHandle<()>,
 ) {
@@ -37,14 +37,14 @@
         open_requests: exchange.open_requests().to_string(),
         limit_ms: limit.as_millis().to_string(),
     });
-    exchange.beat().await;
-    tokio::time::sleep(BALANCER_TIME.min(limit / BALANCER_PART)).await;
+    exchange.send_heartbeat().await;
+    tokio::time::sleep(BALANCER_NOTICE_TIME.min(limit / BALANCER_DIVISOR)).await;
     stopping.send_replace(true);
-    let ended = tokio::time::timeout_at(deadline - LAST_BEAT_TIME.min(limit), callers).await.is_ok();
+    let ended = tokio::time::timeout_at(deadline - FINAL_HEARTBEAT_TIME.min(limit), callers).await.is_ok();
     let abandoned = if ended { 0 } else { exchange.open_requests() };
     // The peers must know what was counted here to the end.
-    exchange.beat().await;
-    tokio::time::sleep(LAST_BEAT_TIME.min(limit) / 2).await;
+    exchange.send_heartbeat().await;
+    tokio::time::sleep(FINAL_HEARTBEAT_TIME.min(limit) / 2).await;
     emit(&DrainFinished {
         node: node.to_owned(),
         handed_over: "0".to_owned(),
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -15,25 +15,25 @@
 use beamwall_policy::{Service, Shared, TrafficPolicy};
 use tokio::time::Instant;
 
-use crate::gateway::duties::followed_demand::FollowedDemand;
-use crate::gateway::duties::kept::KeptDuties;
-use crate::gateway::duties::{Holding, describe};
+use crate::gateway::duties::checkpoint::DutyCheckpointer;
+use crate::gateway::duties::demand_tracker::DemandTracker;
+use crate::gateway::duties::{LeaseHold, describe};
 
 /// Time between two looks at the number of back ends.
 const SCALING_PERIOD: Duration = Duration::from_millis(500);
 /// The orders of one tenure, and when to look at them.
 #[derive(Debug, Default)]
-pub(super) struct OrderTenure {
+pub(super) struct OrderTerm {
     book: OrderBook,
-    next_look: Option<Instant>,
+    next_check: Option<Instant>,
     /// Services of which it was said that their needs are not known.
-    told_unknown: BTreeSet<ServiceName>,
+    logged_unknown: BTreeSet<ServiceName>,
 }
 
-impl OrderTenure {
+impl OrderTerm {
     /// A tenure that goes on from what the last holder kept.
-    pub(super) fn continuing(kept: Vec<KeptOrder>) -> Self {
-        Self { book: OrderBook::continuing(kept, Instant::now()), ..Self::default() }
+    pub(super) fn resuming(saved: Vec<KeptOrder>) -> Self {
+        Self { book: OrderBook::continuing(saved, Instant::now()), ..Self::default() }
     }
 }
 
@@ -41,36 +41,40 @@
 pub(super) struct CapacityDuty {
     gateway: Arc<Gateway>,
     port: Arc<dyn DutyPort>,
-    kept: Arc<KeptDuties>,
-    demands: BTreeMap<ServiceName, FollowedDemand>,
+    checkpointer: Arc<DutyCheckpointer>,
+    demands: BTreeMap<ServiceName, DemandTracker>,
 }
 
 impl CapacityDuty {
     /// A duty that has seen no demand yet.
-    pub(super) fn new(gateway: Arc<Gateway>, port: Arc<dyn DutyPort>, kept: Arc<KeptDuties>) -> Self {
-        Self { gateway, port, kept, demands: BTreeMap::new() }
+    pub(super) fn new(
+        gateway: Arc<Gateway>,
+        port: Arc<dyn DutyPort>,
+        checkpointer: Arc<DutyCheckpointer>,
+    ) -> Self {
+        Self { gateway, port, checkpointer, demands: BTreeMap::new() }
     }
 
     /// Follows the demand for each service that is scaled: up at once, down slowly.
-    pub(super) fn follow_demand(&mut self) {
+    pub(super) fn observe_demand(&mut self) {
         let policy = self.gateway.policy.load();
         for service in policy.policy().services.iter().filter(|service| service.scaling.is_some()) {
-            self.demands.entry(service.name.clone()).or_default().follow(&self.gateway, &service.name);
+            self.demands.entry(service.name.clone()).or_default().update_from(&self.gateway, &service.name);
         }
     }
 
     /// Gives the orders that are due.
-    pub(super) async fn order_due(&self, tenure: &mut OrderTenure, holding: &Holding) {
+    pub(super) async fn order_due(&self, term: &mut OrderTerm, lease_hold: &LeaseHold) {
         let now = Instant::now();
-        if tenure.next_look.is_some_and(|at| now < at) {
+        if term.next_check.is_some_and(|at| now < at) {
             return;
         }
-        tenure.next_look = Some(now + SCALING_PERIOD);
-        self.tell_unknown(tenure);
+        term.next_check = Some(now + SCALING_PERIOD);
+        self.log_unknown_needs(term);
         let policy = self.gateway.policy.load_full();
         let is_settled = |service: &&Shared<Service>| {
-            let is_settled = self.demands.get(&service.name).is_some_and(FollowedDemand::is_settled);
-            is_settled || self.needs_of_predecessor(&service.name).is_some()
+            let is_settled = self.demands.get(&service.name).is_some_and(DemandTracker::is_settled);
+            is_settled || self.predecessor_needs(&service.name).is_some()
         };
         // While a service moves to another version its numbers stay: those of both versions would count as one.
         let rollouts = &self.gateway.forwarder.rollouts;
@@ -78,28 +82,34 @@
         let services = policy.policy().services.iter().filter(is_settled);
         for service in services.filter(|service| !is_moving(service)) {
             let needed = self.needed(policy.policy(), service);
-            for order in self.orders_for(service, needed, &mut tenure.book) {
-                self.give(order, needed, tenure, holding).await;
+            for order in self.orders_for(service, needed, &mut term.book) {
+                self.submit_order(order, needed, term, lease_hold).await;
             }
         }
-        self.kept.note_orders(tenure.book.to_keep());
+        self.checkpointer.note_orders(term.book.to_keep());
     }
 
     /// Says once a tenure of each service that its back ends are kept because its needs are not known.
-    fn tell_unknown(&self, tenure: &mut OrderTenure) {
-        for (service, demand) in self.demands.iter().filter(|(_, demand)| demand.is_unknown()) {
-            if tenure.told_unknown.insert(service.clone()) {
+    fn log_unknown_needs(&self, term: &mut OrderTerm) {
+        for (service, demand) in self.demands.iter().filter(|(_, demand)| demand.is_demand_unknown()) {
+            if term.logged_unknown.insert(service.clone()) {
                 emit(&CapacityNotKnown { service: service.to_string(), kept: demand.floor().to_string() });
             }
         }
     }
 
     /// Gives one order, unless it was refused a moment ago, and notes what came of it.
-    async fn give(&self, order: CapacityOrder, needed: Needed, tenure: &mut OrderTenure, holding: &Holding) {
-        if !tenure.book.may_try(&OrderKey::of(&order), Instant::now()) {
+    async fn submit_order(
+        &self,
+        order: CapacityOrder,
+        needed: Needed,
+        term: &mut OrderTerm,
+        lease_hold: &LeaseHold,
+    ) {
+        if !term.book.may_try(&OrderKey::of(&order), Instant::now()) {
             return;
         }
-        let Some(holder) = holding.holder() else { return };
+        let Some(holder) = lease_hold.holder() else { return };
         let result = self.port.order_capacity(&holder, &order).await;
         emit(&CapacityOrdered {
             service: order.service.to_string(),
@@ -112,12 +122,12 @@
         });
         let now = Instant::now();
         match result {
-            Ok(()) => tenure.book.note_done(&order, now),
+            Ok(()) => term.book.note_done(&order, now),
             Err(error) => {
-                let is_news = tenure.book.note_refused(&order, error == DutyError::Exhausted, now);
-                if is_news {
+                let newly_exhausted = term.book.note_refused(&order, error == DutyError::Exhausted, now);
+                if newly_exhausted {
                     // What can't be had is news: lasting ones stand in for it from the next look on.
-                    tenure.next_look = None;
+                    term.next_check = None;
                 }
             }
         }
@@ -143,28 +153,28 @@
 
     /// Back ends that a service's work needs: while that is not known, what the last holder found; without that the floor decides.
     fn needed(&self, policy: &TrafficPolicy, service: &Service) -> Needed {
-        if let Some(needed) = self.needs_of_predecessor(&service.name) {
+        if let Some(needed) = self.predecessor_needs(&service.name) {
             return needed;
         }
         let Some(demand) = self.demands.get(&service.name) else { return Needed::default() };
         let needed = demand.needed(&self.gateway, policy, service).unwrap_or_default();
-        if !demand.is_unknown() {
-            self.kept.note_needs(&service.name, needed);
+        if !demand.is_demand_unknown() {
+            self.checkpointer.note_needs(&service.name, needed);
         }
         needed
     }
 
     /// What the last holder found that a service needs, until this node knows it.
-    fn needs_of_predecessor(&self, service: &ServiceName) -> Option<Needed> {
-        let is_unknown = self.demands.get(service).is_none_or(FollowedDemand::is_unknown);
-        self.kept.taken_needs(service).filter(|_| is_unknown)
+    fn predecessor_needs(&self, service: &ServiceName) -> Option<Needed> {
+        let is_unknown = self.demands.get(service).is_none_or(DemandTracker::is_demand_unknown);
+        self.checkpointer.inherited_needs(service).filter(|_| is_unknown)
     }
 
     /// Back ends that are kept because nothing is known of the needs.
     fn floor(&self, service: &ServiceName) -> u32 {
-        match self.needs_of_predecessor(service) {
+        match self.predecessor_needs(service) {
             Some(_) => 0,
-            None => self.demands.get(service).map_or(0, FollowedDemand::floor),
+            None => self.demands.get(service).map_or(0, DemandTracker::floor),
         }
     }
 
--- a/crates/beamwall-node/src/gateway/duties/kept.rs
+++ b/crates/beamwall-node/src/gateway/duties/checkpoint.rs
@@ -20,24 +20,24 @@
     first_open_window: u64,
     needs: BTreeMap<ServiceName, Needed>,
     /// Needs that the last holder kept.
-    taken_needs: BTreeMap<ServiceName, Needed>,
+    inherited_needs: BTreeMap<ServiceName, Needed>,
     orders: Vec<KeptOrder>,
 }
 
 /// What the duties keep with the lease.
-pub(super) struct KeptDuties {
+pub(super) struct DutyCheckpointer {
     gateway: Arc<Gateway>,
     state: Mutex<State>,
 }
 
-impl KeptDuties {
+impl DutyCheckpointer {
     /// Nothing taken over yet: usage begins with the window of now.
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
         let (current, _) = gateway.forwarder.usage.window_at(gateway.forwarder.clock.now());
         let state = State {
             first_open_window: current,
             needs: BTreeMap::new(),
-            taken_needs: BTreeMap::new(),
+            inherited_needs: BTreeMap::new(),
             orders: Vec::new(),
         };
         Self { gateway, state: Mutex::new(state) }
@@ -63,8 +63,8 @@
     }
 
     /// What a service needed when the last holder looked.
-    pub(super) fn taken_needs(&self, service: &ServiceName) -> Option<Needed> {
-        self.lock().taken_needs.get(service).copied()
+    pub(super) fn inherited_needs(&self, service: &ServiceName) -> Option<Needed> {
+        self.lock().inherited_needs.get(service).copied()
     }
 
     /// Notes what was ordered.
@@ -79,7 +79,7 @@
 
     fn checkpoint(&self) -> DutyCheckpoint {
         let state = self.lock();
-        let mut needs = state.taken_needs.clone();
+        let mut needs = state.inherited_needs.clone();
         needs.extend(state.needs.clone());
         DutyCheckpoint {
             first_open_window: Some(state.first_open_window),
@@ -92,11 +92,11 @@
     fn forget_orders(&self) {
         let mut state = self.lock();
         state.orders.clear();
-        state.taken_needs.clear();
+        state.inherited_needs.clear();
     }
 
-    fn go_on_from(&self, kept: DutyCheckpoint) {
-        let DutyCheckpoint { first_open_window, usage, needs, orders } = kept;
+    fn resume_from(&self, saved: DutyCheckpoint) {
+        let DutyCheckpoint { first_open_window, usage, needs, orders } = saved;
         let mut state = self.lock();
         if let Some(first) = first_open_window {
             state.first_open_window = state.first_open_window.min(first);
@@ -108,13 +108,13 @@
             requests: requests.to_string(),
             services: needs.len().to_string(),
         });
-        state.taken_needs = needs;
+        state.inherited_needs = needs;
         state.orders = orders;
         self.gateway.forwarder.usage.carry(usage);
     }
 }
 
-impl Checkpoint for KeptDuties {
+impl Checkpoint for DutyCheckpointer {
     fn to_keep(&self) -> String {
         let text = compressed::encode(&self.checkpoint()).map(hex::encode);
         match text {
@@ -134,15 +134,15 @@
         self.gateway.forwarder.usage.changes()
     }
 
-    fn take_over(&self, kept: &str) {
+    fn take_over(&self, saved: &str) {
         // A holder of an earlier build keeps nothing, and may have ordered otherwise than this node once did.
-        if kept.is_empty() {
+        if saved.is_empty() {
             return self.forget_orders();
         }
-        let bytes = hex::decode(kept).map_err(|error| error.to_string());
+        let bytes = hex::decode(saved).map_err(|error| error.to_string());
         let read = bytes.and_then(|bytes| compressed::decode(&bytes).map_err(|error| error.to_string()));
         match read {
-            Ok(checkpoint) => self.go_on_from(checkpoint),
+            Ok(checkpoint) => self.resume_from(checkpoint),
             Err(reason) => {
                 emit(&DutiesNotKept { reason });
                 self.forget_orders();
--- a/crates/beamwall-node/src/gateway/duties/followed_demand.rs
+++ b/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
@@ -10,43 +10,43 @@
 use tokio::time::Instant;
 
 /// Time after the first request for which the number of back ends found at the start is kept.
-const DEMAND_UNKNOWN_FOR: Duration = Duration::from_secs(5);
+const DEMAND_WARM_UP: Duration = Duration::from_secs(5);
 /// Time without a new back end after which all seem to be listed: at the start they are listed one after
 /// another, each within the period at which back ends write their entries.
-const LIST_SETTLES: Duration = Duration::from_millis(1_500);
+const LIST_SETTLE_TIME: Duration = Duration::from_millis(1_500);
 /// Weight of the newest sample when the demand falls; when it rises it is taken at once.
-const LOAD_FALL_WEIGHT: f64 = 0.02;
+const DECAY_WEIGHT: f64 = 0.02;
 
 /// The demand for one service as followed for planning.
 #[derive(Debug, Default)]
-pub(super) struct FollowedDemand {
+pub(super) struct DemandTracker {
     /// Work in a second: up at once, down slowly.
     work: Workload,
     /// Whether enough is known of the back ends to say how many the work needs.
     is_known: bool,
     /// Most back ends seen before the demand was known.
-    found: usize,
+    peak_backends: usize,
     /// When there were last more than before: at the start they are listed one after another.
-    found_at: Option<Instant>,
+    peak_at: Option<Instant>,
     first_request: Option<Instant>,
 }
 
-impl FollowedDemand {
+impl DemandTracker {
     /// Takes the demand of now: up at once, down slowly.
-    pub(super) fn follow(&mut self, gateway: &Gateway, service: &ServiceName) {
+    pub(super) fn update_from(&mut self, gateway: &Gateway, service: &ServiceName) {
         let asked = gateway.forwarder.demand.total(service);
         if asked.is_some_and(|work| work.requests > 0.0) {
             self.first_request.get_or_insert_with(Instant::now);
         }
         let newest = asked.unwrap_or_default();
-        self.work = newest.max(self.work.mixed_with(newest, LOAD_FALL_WEIGHT));
+        self.work = newest.max(self.work.mixed_with(newest, DECAY_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
-        if self.is_unknown() && directory.is_whole() {
+        if self.is_demand_unknown() && directory.is_whole() {
             let usable = directory.usable(service).count();
-            if usable > self.found {
-                self.found = usable;
-                self.found_at = Some(Instant::now());
+            if usable > self.peak_backends {
+                self.peak_backends = usable;
+                self.peak_at = Some(Instant::now());
             }
         }
     }
@@ -64,18 +64,18 @@
 
     /// Whether a plan can be made: the needs are known, or all back ends seem to be listed.
     pub(super) fn is_settled(&self) -> bool {
-        let listed = self.found_at.is_some_and(|at| at.elapsed() >= LIST_SETTLES);
-        listed || !self.is_unknown()
+        let listed = self.peak_at.is_some_and(|at| at.elapsed() >= LIST_SETTLE_TIME);
+        listed || !self.is_demand_unknown()
     }
 
     /// Whether the back ends found at the start are kept.
-    pub(super) fn is_unknown(&self) -> bool {
-        !self.is_known || self.first_request.is_none_or(|at| at.elapsed() < DEMAND_UNKNOWN_FOR)
+    pub(super) fn is_demand_unknown(&self) -> bool {
+        !self.is_known || self.first_request.is_none_or(|at| at.elapsed() < DEMAND_WARM_UP)
     }
 
     /// Back ends that are kept while the needs are not known.
     pub(super) fn floor(&self) -> u32 {
-        if self.is_unknown() { self.found as u32 } else { 0 }
+        if self.is_demand_unknown() { self.peak_backends as u32 } else { 0 }
     }
 }
 
@@ -88,10 +88,10 @@
 
 /// What callers want of a service: the tightest of the objectives of the streams that routes send there.
 fn objectives(policy: &TrafficPolicy, service: &Service) -> Objectives {
-    let leads_here = |route: &&Shared<Route>| {
+    let is_stream_to_service = |route: &&Shared<Route>| {
         route.kind.is_stream() && route.targets.iter().any(|target| target.service == service.name)
     };
-    let routes = || policy.routes.iter().filter(leads_here);
+    let routes = || policy.routes.iter().filter(is_stream_to_service);
     let first_event_ms = routes().map(|route| route.objective_ms).min().unwrap_or(USUAL_OBJECTIVE_MS);
     let pause_ms = routes().filter_map(|route| route.gap_objective_ms).min();
     Objectives { first_event_ms: first_event_ms as f64, pause_ms: pause_ms.map(|pause| pause as f64) }
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -6,8 +6,8 @@
 //! What is not fixed yet, what services need and what was ordered is kept with each renewal of the lease (`kept`).
 
 mod capacity;
-mod followed_demand;
-mod kept;
+mod checkpoint;
+mod demand_tracker;
 mod rollouts;
 mod usage;
 
@@ -27,30 +27,30 @@
 use prometheus::IntGauge;
 use tokio::sync::watch;
 
-use crate::gateway::chooser::ZoneChooser;
-use crate::gateway::duties::capacity::{CapacityDuty, OrderTenure};
-use crate::gateway::duties::kept::KeptDuties;
-use crate::gateway::duties::rollouts::{RolloutDuty, RolloutTenure};
+use crate::gateway::duties::capacity::{CapacityDuty, OrderTerm};
+use crate::gateway::duties::checkpoint::DutyCheckpointer;
+use crate::gateway::duties::rollouts::{RolloutDuty, RolloutTerm};
 use crate::gateway::duties::usage::{UsageDuty, UsageProgress};
-use crate::gateway::exchange::Exchange;
-use crate::gateway::kept_models::ModelKeeper;
-use crate::gateway::kept_quarantine::KeptQuarantine;
+use crate::gateway::node_selector::NodeSelector;
+use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::stored_models::ModelStorage;
+use crate::gateway::stored_quarantine::StoredQuarantine;
 
 /// Time between two looks at what is due.
-const PERIOD: Duration = Duration::from_millis(250);
+const DUTY_POLL_PERIOD: Duration = Duration::from_millis(250);
 /// Nodes of a zone that contend for the lease.
 const CONTENDERS_PER_ZONE: usize = 1;
 /// The lease on all duties.
 const LEASE_NAME: &str = "gateway-duties";
 
 /// The right to act for one tenure: it ends with the lease.
-pub(crate) struct Holding {
+pub(crate) struct LeaseHold {
     node: NodeId,
     epoch: u64,
     lease: watch::Receiver<LeaseState>,
 }
 
-impl Holding {
+impl LeaseHold {
     /// The holder as told in calls, while the lease is held.
     fn holder(&self) -> Option<DutyHolder> {
         let held = self.lease.borrow().held_epoch();
@@ -59,11 +59,11 @@
 }
 
 /// What the holder of the lease has done in one tenure.
-struct Tenure {
-    holding: Holding,
+struct LeaseTerm {
+    lease_hold: LeaseHold,
     usage: UsageProgress,
-    orders: OrderTenure,
-    rollouts: RolloutTenure,
+    orders: OrderTerm,
+    rollouts: RolloutTerm,
 }
 
 /// What the duties meet outside.
@@ -82,15 +82,15 @@
     address: SocketAddr,
     directory: Arc<ArcSwap<Directory>>,
     objects: Arc<dyn VersionedObjects>,
-    kept: Arc<KeptDuties>,
-    chooser: ZoneChooser,
+    checkpointer: Arc<DutyCheckpointer>,
+    selector: NodeSelector,
     /// The epoch held, for metrics; 0 while none is.
     lease_epoch: IntGauge,
     usage: Option<UsageDuty>,
     capacity: Option<CapacityDuty>,
     rollouts: Option<RolloutDuty>,
-    models: ModelKeeper,
-    held_requests: Arc<KeptQuarantine>,
+    model_storage: ModelStorage,
+    held_requests: Arc<StoredQuarantine>,
 }
 
 impl Duties {
@@ -99,10 +99,10 @@
         settings: &GatewaySettings,
         gateway: &Arc<Gateway>,
         ports: DutyPorts,
-        exchange: &Arc<Exchange>,
-        chooser: ZoneChooser,
+        exchange: &Arc<PeerExchange>,
+        selector: NodeSelector,
         lease_epoch: IntGauge,
-        held_requests: Arc<KeptQuarantine>,
+        held_requests: Arc<StoredQuarantine>,
     ) -> Self {
         let DutyPorts { objects, calls: port, rollouts } = ports;
         let bounds = Bounds {
@@ -111,19 +111,19 @@
             rollback: settings.rollback,
         };
         let rollouts = rollouts.map(|store| RolloutDuty::new(gateway.clone(), store, bounds));
-        let kept = Arc::new(KeptDuties::new(gateway.clone()));
+        let checkpointer = Arc::new(DutyCheckpointer::new(gateway.clone()));
         let usage = || {
             let window = settings.usage_window;
             UsageDuty::new(
                 window,
-                kept.clone(),
+                checkpointer.clone(),
                 gateway.clone(),
                 objects.clone(),
                 port.clone(),
                 exchange.clone(),
             )
         };
-        let capacity = || CapacityDuty::new(gateway.clone(), port.clone(), kept.clone());
+        let capacity = || CapacityDuty::new(gateway.clone(), port.clone(), checkpointer.clone());
         Self {
             node: settings.node.clone(),
             address: settings.peers,
@@ -131,11 +131,11 @@
             usage: settings.report_usage.then(usage),
             capacity: settings.order_capacity.then(capacity),
             rollouts,
-            models: ModelKeeper::new(gateway.clone(), objects.clone()),
+            model_storage: ModelStorage::new(gateway.clone(), objects.clone()),
             held_requests,
             objects,
-            kept,
-            chooser,
+            checkpointer,
+            selector,
             lease_epoch,
         }
     }
@@ -143,60 +143,60 @@
     /// Contends for the lease and does what is due while holding it, until the task is ended.
     pub async fn run(mut self) {
         let (lease, state) = Lease::over(LEASE_NAME, self.node.clone(), self.objects.clone());
-        let lease = lease.at(self.address).keeping(self.kept.clone());
-        let _contending = AbortOnDrop(tokio::spawn(contend(lease, state.clone(), self.chooser.clone())));
-        let mut tenure: Option<Tenure> = None;
+        let lease = lease.at(self.address).keeping(self.checkpointer.clone());
+        let _contending = AbortOnDrop(tokio::spawn(contend(lease, state.clone(), self.selector.clone())));
+        let mut term: Option<LeaseTerm> = None;
         loop {
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(DUTY_POLL_PERIOD).await;
             if let Some(capacity) = &mut self.capacity {
-                capacity.follow_demand();
+                capacity.observe_demand();
             }
             let epoch = state.borrow().held_epoch();
             self.lease_epoch.set(epoch.unwrap_or(0) as i64);
-            log_change(tenure.as_ref().map(|tenure| tenure.holding.epoch), epoch);
-            tenure = match (tenure, epoch) {
+            log_change(term.as_ref().map(|term| term.lease_hold.epoch), epoch);
+            term = match (term, epoch) {
                 (_, None) => None,
-                (Some(tenure), Some(epoch)) if tenure.holding.epoch == epoch => Some(tenure),
-                (_, Some(epoch)) => Some(self.begin_tenure(epoch, &state)),
+                (Some(term), Some(epoch)) if term.lease_hold.epoch == epoch => Some(term),
+                (_, Some(epoch)) => Some(self.begin_term(epoch, &state)),
             };
-            if let Some(tenure) = &mut tenure {
-                self.do_due(tenure).await;
-                self.models.keep_due().await;
-                self.held_requests.keep_due().await;
+            if let Some(term) = &mut term {
+                self.run_due(term).await;
+                self.model_storage.write_if_due().await;
+                self.held_requests.write_if_due().await;
             }
         }
     }
 
-    fn begin_tenure(&self, epoch: u64, lease: &watch::Receiver<LeaseState>) -> Tenure {
-        let holding = Holding { node: self.node.clone(), epoch, lease: lease.clone() };
-        Tenure {
-            holding,
+    fn begin_term(&self, epoch: u64, lease: &watch::Receiver<LeaseState>) -> LeaseTerm {
+        let lease_hold = LeaseHold { node: self.node.clone(), epoch, lease: lease.clone() };
+        LeaseTerm {
+            lease_hold,
             usage: UsageProgress::default(),
-            orders: OrderTenure::continuing(self.kept.orders()),
-            rollouts: RolloutTenure::default(),
+            orders: OrderTerm::resuming(self.checkpointer.orders()),
+            rollouts: RolloutTerm::default(),
         }
     }
 
-    async fn do_due(&self, tenure: &mut Tenure) {
+    async fn run_due(&self, term: &mut LeaseTerm) {
         // On a part of the list a rollout would seem to be done, and back ends that are not known yet would be given up.
         let knows_all = self.directory.load().is_whole();
         if let Some(rollouts) = self.rollouts.as_ref().filter(|_| knows_all) {
-            rollouts.decide_due(&mut tenure.rollouts, &tenure.holding).await;
+            rollouts.decide_due(&mut term.rollouts, &term.lease_hold).await;
         }
         if let Some(usage) = &self.usage {
-            usage.report_due(&mut tenure.usage, &tenure.holding).await;
+            usage.report_due(&mut term.usage, &term.lease_hold).await;
         }
         if let Some(capacity) = self.capacity.as_ref().filter(|_| knows_all) {
-            capacity.order_due(&mut tenure.orders, &tenure.holding).await;
+            capacity.order_due(&mut term.orders, &term.lease_hold).await;
         }
     }
 }
 
 /// Renews the lease while this node holds it, and contends for it while it is chosen to.
-async fn contend(mut lease: Lease, state: watch::Receiver<LeaseState>, chooser: ZoneChooser) {
+async fn contend(mut lease: Lease, state: watch::Receiver<LeaseState>, selector: NodeSelector) {
     loop {
         let holds = state.borrow().held_epoch().is_some();
-        if holds || chooser.is_chosen(LEASE_NAME, CONTENDERS_PER_ZONE) {
+        if holds || selector.is_selected(LEASE_NAME, CONTENDERS_PER_ZONE) {
             let _ = lease.step().await;
         }
         lease.pause().await;
@@ -219,15 +219,15 @@
     }
 }
 
-fn log_change(before: Option<u64>, now: Option<u64>) {
-    if before == now {
+fn log_change(previous: Option<u64>, current: Option<u64>) {
+    if previous == current {
         return;
     }
     let lease = LEASE_NAME.to_owned();
-    if let Some(epoch) = before {
+    if let Some(epoch) = previous {
         emit(&LeaseLost { lease: lease.clone(), epoch: epoch.to_string() });
     }
-    if let Some(epoch) = now {
+    if let Some(epoch) = current {
         emit(&LeaseTaken { lease, epoch: epoch.to_string() });
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -12,18 +12,18 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::gateway::duties::Holding;
+use crate::gateway::duties::LeaseHold;
 
 /// The rollouts of one tenure.
 #[derive(Debug, Default)]
-pub(super) struct RolloutTenure {
+pub(super) struct RolloutTerm {
     running: BTreeMap<OrderId, Rollout>,
     /// What the operator was told last in this tenure.
-    written: BTreeMap<OrderId, Verdict>,
+    reported: BTreeMap<OrderId, Verdict>,
     /// Orders whose move of all traffic was logged.
     staged: BTreeSet<OrderId>,
     /// Number of the next telling.
-    tellings: u64,
+    stage_updates: u64,
 }
 
 /// The duty of deciding on rollouts.
@@ -32,36 +32,36 @@
     store: Arc<dyn RolloutStore>,
     bounds: Bounds,
     /// Told when peers should hear at once.
-    news: Arc<Notify>,
+    heartbeat_trigger: Arc<Notify>,
 }
 
 impl RolloutDuty {
     /// A duty within `bounds`.
     pub(super) fn new(gateway: Arc<Gateway>, store: Arc<dyn RolloutStore>, bounds: Bounds) -> Self {
-        let news = gateway.news.clone();
-        Self { gateway, store, bounds, news }
+        let heartbeat_trigger = gateway.news.clone();
+        Self { gateway, store, bounds, heartbeat_trigger }
     }
 
     /// Looks at all orders, decides, tells all nodes, and writes what is new for the operator.
-    pub(super) async fn decide_due(&self, tenure: &mut RolloutTenure, holding: &Holding) {
+    pub(super) async fn decide_due(&self, term: &mut RolloutTerm, lease_hold: &LeaseHold) {
         let now = beamwall_clock::now();
         let orders = self.gateway.forwarder.rollouts.orders(now);
-        for news in orders.into_iter().filter(|news| !news.is_withdrawn) {
-            let Some(holder) = holding.holder() else { return };
-            self.decide(tenure, &news, holder.epoch, now);
-            self.write_status(tenure, &news.order.id).await;
+        for order_update in orders.into_iter().filter(|order_update| !order_update.is_withdrawn) {
+            let Some(holder) = lease_hold.holder() else { return };
+            self.decide(term, &order_update, holder.epoch, now);
+            self.write_status(term, &order_update.order.id).await;
         }
     }
 
-    fn decide(&self, tenure: &mut RolloutTenure, news: &OrderNews, epoch: u64, now: Instant) {
+    fn decide(&self, term: &mut RolloutTerm, order_update: &OrderNews, epoch: u64, now: Instant) {
         let book = &self.gateway.forwarder.rollouts;
-        let id = &news.order.id;
-        let began = now.checked_sub(news.age).unwrap_or(now);
-        let rollout = tenure
+        let id = &order_update.order.id;
+        let began = now.checked_sub(order_update.age).unwrap_or(now);
+        let rollout = term
             .running
             .entry(id.clone())
-            .or_insert_with(|| Rollout::new(news.order.clone(), self.bounds, began));
-        rollout.hear(news.verdict);
+            .or_insert_with(|| Rollout::new(order_update.order.clone(), self.bounds, began));
+        rollout.hear(order_update.verdict);
         let was_final = rollout.verdict().is_final();
         let supply = self.supply(id);
         let verdict = rollout.look(&book.evidence(id), supply, now);
@@ -70,7 +70,7 @@
             book.hear_verdict(id, verdict, now);
         }
         let stage = rollout.stage();
-        if stage.takes_all() && tenure.staged.insert(id.clone()) {
+        if stage.takes_all() && term.staged.insert(id.clone()) {
             emit(&RolloutStaged {
                 service: id.service.to_string(),
                 target: id.target.to_string(),
@@ -80,22 +80,22 @@
             });
         }
         if !was_final {
-            tenure.tellings += 1;
-            let mark = (epoch, tenure.tellings);
+            term.stage_updates += 1;
+            let mark = (epoch, term.stage_updates);
             book.hear_stage(&StageNews { order: id.clone(), mark, stage, age: Duration::ZERO }, now);
-            self.news.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 
     /// Tells the operator what is new. A failure is said, and tried again at the next look.
-    async fn write_status(&self, tenure: &mut RolloutTenure, id: &OrderId) {
-        let Some(verdict) = tenure.running.get(id).map(Rollout::verdict) else { return };
-        if tenure.written.get(id) == Some(&verdict) {
+    async fn write_status(&self, term: &mut RolloutTerm, id: &OrderId) {
+        let Some(verdict) = term.running.get(id).map(Rollout::verdict) else { return };
+        if term.reported.get(id) == Some(&verdict) {
             return;
         }
         match self.store.set_status(id, verdict).await {
             Ok(()) => {
-                tenure.written.insert(id.clone(), verdict);
+                term.reported.insert(id.clone(), verdict);
             }
             Err(error) => {
                 let (service, reason) = (id.service.to_string(), error.to_string());
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -14,22 +14,22 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::gateway::duties::kept::KeptDuties;
-use crate::gateway::duties::{Holding, describe};
-use crate::gateway::exchange::Exchange;
+use crate::gateway::duties::checkpoint::DutyCheckpointer;
+use crate::gateway::duties::{LeaseHold, describe};
+use crate::gateway::peer_exchange::PeerExchange;
 
 /// Time after a window's end until all nodes have told their counts.
-const USAGE_SETTLES: Duration = Duration::from_millis(1_700);
+const USAGE_SETTLE_TIME: Duration = Duration::from_millis(1_700);
 /// The same in a large deployment, where counts of other zones pass through two relays.
-const USAGE_SETTLES_LARGE: Duration = Duration::from_millis(2_600);
+const USAGE_SETTLE_TIME_LARGE: Duration = Duration::from_millis(2_600);
 /// Time after a window's end for which counts of silent nodes are waited for: they may be cut off and come back.
-const USAGE_WAITS: Duration = Duration::from_millis(8_000);
+const SILENT_NODE_WAIT: Duration = Duration::from_millis(8_000);
 /// Time after a window's end after which it is not reported any more.
-const USAGE_FORGOTTEN: Duration = Duration::from_secs(30);
+const REPORT_DEADLINE: Duration = Duration::from_secs(30);
 /// Windows whose fixed counts stay in the store.
 const FIXED_WINDOWS: usize = 8;
 /// Longest time for one write.
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The object that holds fixed counts.
 const USAGE_KEY: &str = "reports/usage";
 
@@ -59,39 +59,39 @@
 /// The duty of reporting usage.
 pub(super) struct UsageDuty {
     window_length: Duration,
-    kept: Arc<KeptDuties>,
+    checkpointer: Arc<DutyCheckpointer>,
     gateway: Arc<Gateway>,
     objects: Arc<dyn VersionedObjects>,
     port: Arc<dyn DutyPort>,
-    exchange: Arc<Exchange>,
+    exchange: Arc<PeerExchange>,
 }
 
 impl UsageDuty {
     /// A duty that goes on from what is kept.
     pub(super) fn new(
         window_length: Duration,
-        kept: Arc<KeptDuties>,
+        checkpointer: Arc<DutyCheckpointer>,
         gateway: Arc<Gateway>,
         objects: Arc<dyn VersionedObjects>,
         port: Arc<dyn DutyPort>,
-        exchange: Arc<Exchange>,
+        exchange: Arc<PeerExchange>,
     ) -> Self {
-        Self { window_length, kept, gateway, objects, port, exchange }
+        Self { window_length, checkpointer, gateway, objects, port, exchange }
     }
 
     /// Reports the oldest window that is due, if any.
-    pub(super) async fn report_due(&self, progress: &mut UsageProgress, holding: &Holding) {
+    pub(super) async fn report_due(&self, progress: &mut UsageProgress, lease_hold: &LeaseHold) {
         if progress.fixed.is_none() {
             self.read_fixed(progress).await;
         }
         let Some((_, fixed)) = &progress.fixed else { return };
         let done = self.done(progress.reported_through, fixed);
-        self.kept.note_first_open_window(done.first_open());
+        self.checkpointer.note_first_open_window(done.first_open());
         let Some(due) = self.due_window(&done, fixed) else { return };
         let Some(counts) = self.fix(progress, due).await else { return };
-        let Some(holder) = holding.holder() else { return };
+        let Some(holder) = lease_hold.holder() else { return };
         let after = self.clock().ended_for(due, self.window_length).unwrap_or_default();
-        let unheard = self.exchange.unheard();
+        let unheard = self.exchange.members_not_heard();
         let result = self.port.report_usage(&holder, &counts).await;
         emit(&UsageReported {
             window: due.to_string(),
@@ -110,18 +110,22 @@
         WindowProgress {
             reported_through,
             newest_fixed: fixed.newest(),
-            first: self.kept.first_open_window(),
+            first: self.checkpointer.first_open_window(),
         }
     }
 
     fn due_window(&self, done: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
         let timing = UsageTiming {
             window: self.window_length,
-            settles: if self.exchange.is_large() { USAGE_SETTLES_LARGE } else { USAGE_SETTLES },
-            waits: USAGE_WAITS,
-            forgotten: USAGE_FORGOTTEN,
+            settles: if self.exchange.is_large_deployment() {
+                USAGE_SETTLE_TIME_LARGE
+            } else {
+                USAGE_SETTLE_TIME
+            },
+            waits: SILENT_NODE_WAIT,
+            forgotten: REPORT_DEADLINE,
         };
-        let is_complete = self.exchange.unheard() == 0;
+        let is_complete = self.exchange.members_not_heard() == 0;
         done.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
     }
 
@@ -163,10 +167,11 @@
         let surplus = next.windows.len().saturating_sub(FIXED_WINDOWS);
         next.windows.drain(..surplus);
         let value = serde_json::to_vec(&next).ok()?;
-        let mine = |object: &Object| parse_fixed(object).get(window) == Some(&counts);
-        let deadline = Instant::now() + WRITE_LIMIT;
+        let is_own_write = |object: &Object| parse_fixed(object).get(window) == Some(&counts);
+        let deadline = Instant::now() + WRITE_TIMEOUT;
         let bytes = Bytes::from(value);
-        let written = put_settled(self.objects.as_ref(), USAGE_KEY, version, bytes, deadline, mine).await;
+        let written =
+            put_settled(self.objects.as_ref(), USAGE_KEY, version, bytes, deadline, is_own_write).await;
         match written {
             Ok(Settled::Written(version)) => {
                 progress.fixed = Some((version, next));
--- a/crates/beamwall-node/src/gateway/loads_to_pass_on.rs
+++ b/crates/beamwall-node/src/gateway/forwarded_loads.rs
@@ -13,21 +13,21 @@
 
 /// Open work, by who is told.
 #[derive(Debug, Default, PartialEq)]
-pub struct LoadsToPassOn {
+pub struct ForwardedLoads {
     /// Told to all nodes.
     pub to_all: Vec<BackendLoad>,
     /// Told beside to a node that places.
-    pub to_placers: HashMap<NodeId, Vec<BackendLoad>>,
+    pub to_placement_nodes: HashMap<NodeId, Vec<BackendLoad>>,
 }
 
-impl LoadsToPassOn {
+impl ForwardedLoads {
     /// Sorts open work. `is_placed` tells whether a node chooses among a service's engines for all, and `placer` which of this
     /// zone's nodes does so in a group, if one does.
-    pub fn sort(
+    pub fn split_by_receiver(
         loads: &[BackendLoad],
         directory: &Directory,
         is_placed: impl Fn(&ServiceName) -> bool,
-        mut placer: impl FnMut(EngineGroup) -> Option<NodeId>,
+        mut placement_node: impl FnMut(EngineGroup) -> Option<NodeId>,
     ) -> Self {
         let mut sorted = Self::default();
         for load in loads {
@@ -35,8 +35,8 @@
             match group_of(directory, &id, &is_placed) {
                 None => sorted.to_all.push(load.clone()),
                 Some(group) => {
-                    if let Some(node) = placer(group) {
-                        sorted.to_placers.entry(node).or_default().push(load.clone());
+                    if let Some(node) = placement_node(group) {
+                        sorted.to_placement_nodes.entry(node).or_default().push(load.clone());
                     }
                 }
             }
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -7,7 +7,7 @@
 use beamwall_peer::MemberState;
 use prometheus::{GaugeVec, IntGauge, Opts, Registry};
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 use crate::metrics::gauge;
 
@@ -123,14 +123,14 @@
     }
 
     /// Sets all gauges to what holds now.
-    pub fn refresh(&self, gateway: &Arc<Gateway>, exchange: &Exchange, readiness: &Readiness) {
+    pub fn refresh(&self, gateway: &Arc<Gateway>, exchange: &PeerExchange, readiness: &Readiness) {
         let directory = gateway.forwarder.directory.load();
         let draining = directory.backends().filter(|backend| backend.draining).count();
         let view = exchange.members.load();
         let alive = view.members.iter().filter(|member| member.state == MemberState::Alive).count();
         self.policy_version.set(gateway.policy.load().version() as i64);
-        let (told, behind) = exchange.policies.told();
-        self.policy_version_told.set(told as i64);
+        let (newest, behind) = exchange.policies.newest_reported();
+        self.policy_version_told.set(newest as i64);
         self.policy_behind_ms.set(behind.as_millis() as i64);
         self.directory_revision.set(directory.revision() as i64);
         self.backends_usable.set((directory.backends().count() - draining) as i64);
@@ -151,7 +151,7 @@
         let book = &gateway.forwarder.quarantine.book;
         self.requests_held.set(book.held().len() as i64);
         self.requests_suspected.set(book.suspects() as i64);
-        self.peers_ended_abruptly.set(exchange.peer_lives.ended_abruptly() as i64);
+        self.peers_ended_abruptly.set(exchange.peer_restarts.ended_abruptly() as i64);
         // Accounts are opened with the next heartbeat after a policy; what is read here is complete before it, too.
         exchange.share_limits();
         self.refresh_limits(gateway);
--- a/crates/beamwall-node/src/gateway/beat.rs
+++ b/crates/beamwall-node/src/gateway/heartbeat_wire.rs
@@ -89,21 +89,21 @@
 
 /// What was observed of single back ends as told.
 pub fn encode_slowness(observed: Vec<(BackendId, ToldSlowness)>) -> Vec<BackendSlowness> {
-    let encode = |(backend, told): (BackendId, ToldSlowness)| BackendSlowness {
+    let encode = |(backend, observation): (BackendId, ToldSlowness)| BackendSlowness {
         backend: backend.to_string(),
-        logarithms: told.logarithms as f32,
-        weight: told.weight as f32,
+        logarithms: observation.logarithms as f32,
+        weight: observation.weight as f32,
     };
     observed.into_iter().map(encode).collect()
 }
 
 /// What was observed of single back ends as heard.
-pub fn decode_slowness(told: &[BackendSlowness]) -> Vec<(BackendId, ToldSlowness)> {
+pub fn decode_slowness(messages: &[BackendSlowness]) -> Vec<(BackendId, ToldSlowness)> {
     let decode = |one: &BackendSlowness| {
         let observed = ToldSlowness { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
         (BackendId::new(&one.backend), observed)
     };
-    told.iter().map(decode).collect()
+    messages.iter().map(decode).collect()
 }
 
 /// Usage as told.
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -4,39 +4,39 @@
 //! learns from them what the store did not tell; callers are served from snapshots; duties that one
 //! node does for all run under a lease.
 
-pub mod beat;
-pub mod chooser;
-pub mod directories;
+pub mod counter_deltas;
+pub mod directory_reader;
+pub mod directory_sync;
 pub mod directory_wire;
 pub mod drain;
 pub mod duties;
-pub mod exchange;
+pub mod forwarded_loads;
 pub mod gauges;
-pub mod heard_versions;
-mod kept_models;
-mod kept_objects;
-pub mod kept_quarantine;
-mod known_usage;
-pub mod listing;
-pub mod loads_to_pass_on;
+pub mod heartbeat_wire;
+mod limit_sharing;
+pub mod node_selector;
 pub mod observations;
-pub mod peer_lives;
-pub mod placers;
-pub mod placing;
-pub mod policies;
-pub mod quarantine_news;
+pub mod peer_exchange;
+pub mod peer_placement;
+pub mod peer_restarts;
+pub mod peer_versions;
+pub mod placement_router;
+pub mod policy_sync;
+pub mod quarantine_sync;
 pub mod quarantine_wire;
 pub mod readiness;
 pub mod rollout_wire;
 pub mod rollouts;
-mod sharing;
-pub mod standstill;
+pub mod stall_monitor;
 pub mod store_status;
-pub mod suspension;
-pub mod told_figures;
+pub mod store_watch;
+mod stored_models;
+mod stored_objects;
+pub mod stored_quarantine;
+pub mod suspension_monitor;
 pub mod unreadable_entries;
-pub mod watches;
-pub mod zones;
+mod usage_recovery;
+pub mod zone_summaries;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -76,28 +76,28 @@
 use crate::actors::membership::MembershipActor;
 use crate::actors::policy::PolicyActor;
 use crate::error::NodeError;
-use crate::gateway::chooser::ZoneChooser;
+use crate::gateway::directory_reader::DirectoryReader;
 use crate::gateway::duties::{Duties, DutyPorts};
-use crate::gateway::exchange::Exchange;
 use crate::gateway::gauges::GatewayGauges;
-use crate::gateway::heard_versions::HeardVersions;
-use crate::gateway::kept_quarantine::KeptQuarantine;
-use crate::gateway::listing::Listing;
-use crate::gateway::peer_lives::PeerLives;
-use crate::gateway::placing::PeerPlacement;
-use crate::gateway::policies::PolicyDistribution;
+use crate::gateway::node_selector::NodeSelector;
+use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::peer_placement::PeerPlacement;
+use crate::gateway::peer_restarts::PeerRestarts;
+use crate::gateway::peer_versions::PeerVersions;
+use crate::gateway::policy_sync::PolicyDistribution;
 use crate::gateway::readiness::{Readiness, StatusHandler};
-use crate::gateway::rollouts::FollowedOrders;
-use crate::gateway::standstill::Standstills;
+use crate::gateway::rollouts::WatchedOrders;
+use crate::gateway::stall_monitor::StallMonitor;
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::suspension::Suspensions;
+use crate::gateway::store_watch::{WatchedBackends, WatchedPolicy};
+use crate::gateway::stored_quarantine::StoredQuarantine;
+use crate::gateway::suspension_monitor::SuspensionMonitor;
 use crate::gateway::unreadable_entries::UnreadableEntries;
-use crate::gateway::watches::{FollowedBackends, FollowedPolicy};
 use crate::metrics;
 use crate::shared::MembershipView;
 
 /// Longest time to open a connection to a back end.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Part of the allowed retries for each request that each request earns. With what may be saved, nodes use nine
 /// tenths of them; the rest is a margin.
 const RETRY_RATIO_EARNED: f64 = 0.5;
@@ -132,7 +132,7 @@
 /// One running gateway node.
 pub struct GatewayNode {
     readiness: Arc<Readiness>,
-    exchange: Arc<Exchange>,
+    exchange: Arc<PeerExchange>,
     settings: GatewaySettings,
     stopping: watch::Sender<bool>,
     callers: JoinHandle<()>,
@@ -156,19 +156,20 @@
         let registry = Registry::new();
         let status = Arc::new(StoreStatus::new(&registry)?);
         let unreadable = Arc::new(UnreadableEntries::new(&registry)?);
-        let standstills = Standstills::new(&registry)?;
-        let life = new_incarnation();
+        let stall_monitor = StallMonitor::new(&registry)?;
+        let generation = new_generation();
         let members = Arc::new(ArcSwap::default());
         let placement = Arc::new(PeerPlacement::new(&settings, network.clone(), members.clone()));
         let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
-        let kept_quarantine = KeptQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
-        let kept_quarantine = Arc::new(kept_quarantine);
-        let quarantine = QuarantineParts { book, clock, trials: kept_quarantine.clone() };
-        let gateway = assemble_gateway(&settings, &ports, &registry, life, placement, quarantine)?;
+        let stored_quarantine = StoredQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
+        let stored_quarantine = Arc::new(stored_quarantine);
+        let quarantine = QuarantineParts { book, clock, trials: stored_quarantine.clone() };
+        let gateway = assemble_gateway(&settings, &ports, &registry, generation, placement, quarantine)?;
         let directory = gateway.forwarder.directory.clone();
         let readiness = Arc::new(Readiness::new(gateway.policy.clone(), directory, status.clone()));
-        let exchange =
-            Arc::new(assemble_exchange(&settings, network, members, &gateway, &readiness, &status, life));
+        let exchange = Arc::new(assemble_exchange(
+            &settings, network, members, &gateway, &readiness, &status, generation,
+        ));
         let stopping = watch::channel(false).0;
         let callers =
             tokio::spawn(serve(callers, GatewayHandler::new(gateway.clone()), stopping.subscribe()));
@@ -185,45 +186,59 @@
             exchange: exchange.clone(),
             readiness_path: ports.readiness_path,
         });
-        let chooser = exchange.chooser.clone();
-        let followed_policy = Arc::new(FollowedPolicy {
+        let selector = exchange.selector.clone();
+        let watched_policy = Arc::new(WatchedPolicy {
             store: ports.store.clone(),
             policy: exchange.policy_actor.clone(),
             gateway: gateway.clone(),
         });
-        let listing = Listing {
+        let reader = DirectoryReader {
             store: ports.store.clone(),
-            known: exchange.directory.clone(),
-            directory: exchange.directory_actor.clone(),
-            chooser: exchange.chooser.clone(),
+            current: exchange.directory.clone(),
+            directory_updates: exchange.directory_actor.clone(),
+            selector: exchange.selector.clone(),
             status: status.clone(),
             unreadable,
         };
-        let followed_backends = Arc::new(FollowedBackends {
+        let watched_backends = Arc::new(WatchedBackends {
             store: ports.store,
-            listing,
-            directory: exchange.directory_actor.clone(),
+            reader,
+            directory_updates: exchange.directory_actor.clone(),
             gateway: gateway.clone(),
         });
         let mut tasks = vec![
             tokio::spawn(serve_forever(readiness_listener, status_handler.clone())),
             tokio::spawn(serve_forever(metrics_listener, status_handler)),
-            tokio::spawn(watches::follow(followed_policy.clone(), status.clone(), chooser.clone())),
-            tokio::spawn(watches::review(followed_policy, chooser.clone())),
-            tokio::spawn(watches::follow(followed_backends.clone(), status.clone(), chooser.clone())),
-            tokio::spawn(watches::review(followed_backends, chooser.clone())),
-            tokio::spawn(exchange.clone().send_beats()),
+            tokio::spawn(store_watch::watch_resource(
+                watched_policy.clone(),
+                status.clone(),
+                selector.clone(),
+            )),
+            tokio::spawn(store_watch::verify_resource(watched_policy, selector.clone())),
+            tokio::spawn(store_watch::watch_resource(
+                watched_backends.clone(),
+                status.clone(),
+                selector.clone(),
+            )),
+            tokio::spawn(store_watch::verify_resource(watched_backends, selector.clone())),
+            tokio::spawn(exchange.clone().send_heartbeats()),
             tokio::spawn(exchange.clone().receive(inbox)),
         ];
-        tasks.push(tokio::spawn(exchange.clone().learn_usage()));
-        tasks.push(tokio::spawn(kept_models::recall(gateway.clone(), ports.objects.clone())));
-        tasks.push(tokio::spawn(exchange.clone().tell_quarantine()));
-        tasks.push(tokio::spawn(standstills.watch(Suspensions::new(exchange.news.clone()))));
-        tasks.push(tokio::spawn(recall_held_requests(kept_quarantine.clone(), gateway.clone())));
+        tasks.push(tokio::spawn(exchange.clone().recover_usage()));
+        tasks.push(tokio::spawn(stored_models::restore(gateway.clone(), ports.objects.clone())));
+        tasks.push(tokio::spawn(exchange.clone().broadcast_evidence()));
+        tasks.push(tokio::spawn(
+            stall_monitor.watch(SuspensionMonitor::new(exchange.heartbeat_trigger.clone())),
+        ));
+        tasks.push(tokio::spawn(restore_held_requests(stored_quarantine.clone(), gateway.clone())));
         if let Some(store) = ports.rollouts.clone() {
-            let followed = Arc::new(FollowedOrders { store, exchange: exchange.clone() });
-            tasks.push(tokio::spawn(watches::follow(followed.clone(), status, chooser.clone())));
-            tasks.push(tokio::spawn(watches::review(followed, chooser.clone())));
+            let watched_orders = Arc::new(WatchedOrders { store, exchange: exchange.clone() });
+            tasks.push(tokio::spawn(store_watch::watch_resource(
+                watched_orders.clone(),
+                status,
+                selector.clone(),
+            )));
+            tasks.push(tokio::spawn(store_watch::verify_resource(watched_orders, selector.clone())));
         }
         if let Some(calls) = ports.duties {
             let duty_ports = DutyPorts { objects: ports.objects, calls, rollouts: ports.rollouts };
@@ -232,9 +247,9 @@
                 &gateway,
                 duty_ports,
                 &exchange,
-                chooser,
+                selector,
                 lease_epoch,
-                kept_quarantine,
+                stored_quarantine,
             );
             tasks.push(tokio::spawn(duties.run()));
         }
@@ -281,13 +296,13 @@
     trials: Arc<dyn TrialPort>,
 }
 
-async fn recall_held_requests(kept: Arc<KeptQuarantine>, gateway: Arc<Gateway>) {
-    kept.recall().await;
+async fn restore_held_requests(stored: Arc<StoredQuarantine>, gateway: Arc<Gateway>) {
+    stored.restore().await;
     gateway.forwarder.quarantine.log_changes();
 }
 
 /// A number that rises with each start: the time in milliseconds.
-fn new_incarnation() -> u64 {
+fn new_generation() -> u64 {
     since_1970_ms(SystemTime::now())
 }
 
@@ -295,12 +310,12 @@
     settings: &GatewaySettings,
     ports: &Ports,
     registry: &Registry,
-    life: u64,
+    generation: u64,
     placement: Arc<dyn PlacementPort>,
     quarantine: QuarantineParts,
 ) -> Result<Arc<Gateway>, NodeError> {
     let nodes = settings.expected_nodes.max(1);
-    let pool = Pool::new(CONNECT_LIMIT);
+    let pool = Pool::new(CONNECT_TIMEOUT);
     let directory: Arc<ArcSwap<Directory>> = Arc::default();
     let QuarantineParts { book, clock, trials } = quarantine;
     let quarantine = Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), trials);
@@ -322,7 +337,7 @@
         demand: DemandBook::default(),
         rollouts: RolloutBook::default(),
         retries: RetryBudgets::new(retries, nodes),
-        usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, life),
+        usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, generation),
         clock,
         quarantine: Arc::new(quarantine),
         metrics: GatewayMetrics::new(registry)?,
@@ -333,8 +348,9 @@
         at_start: settings.quota_overage * QUOTA_OVERAGE_USED_AT_START,
         window: settings.quota_window,
     };
-    let quotas =
-        QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes).tolerating(tolerance).started_at(life);
+    let quotas = QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
+        .tolerating(tolerance)
+        .started_at(generation);
     Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
 }
 
@@ -350,27 +366,31 @@
     gateway: &Arc<Gateway>,
     readiness: &Arc<Readiness>,
     status: &Arc<StoreStatus>,
-    life: u64,
-) -> Exchange {
-    let membership =
-        Membership::new(settings.node.clone(), settings.zone.clone(), life, MembershipTiming::default())
-            .on_link(settings.link_mbps)
-            .broadcasting();
+    generation: u64,
+) -> PeerExchange {
+    let membership = Membership::new(
+        settings.node.clone(),
+        settings.zone.clone(),
+        generation,
+        MembershipTiming::default(),
+    )
+    .on_link(settings.link_mbps)
+    .broadcasting();
     let directory = gateway.forwarder.directory.clone();
-    let versions: Arc<Notify> = Arc::default();
+    let versions_changed: Arc<Notify> = Arc::default();
     let transfers = Arc::new(TransferPacer::new(settings.link_mbps));
     let archive: Arc<PolicyArchive> = Arc::default();
-    Exchange {
+    PeerExchange {
         node: settings.node.clone(),
         zone: settings.zone.clone(),
         link_mbps: settings.link_mbps,
         address: settings.peers,
         seeds: settings.seeds.clone(),
         expected_nodes: settings.expected_nodes,
-        life,
+        generation,
         network,
         membership: MembershipActor::spawn(MembershipActor::new(membership, members.clone())),
-        chooser: ZoneChooser::new(
+        selector: NodeSelector::new(
             settings.node.clone(),
             settings.zone.clone(),
             settings.link_mbps,
@@ -381,28 +401,28 @@
         policy_actor: PolicyActor::spawn(PolicyActor::new(
             gateway.policy.clone(),
             archive.clone(),
-            versions.clone(),
+            versions_changed.clone(),
         )),
         directory_actor: DirectoryActor::spawn(DirectoryActor::new(
             directory.clone(),
             gateway.clone(),
             status.clone(),
-            versions.clone(),
+            versions_changed.clone(),
         )),
         directory,
         readiness: readiness.clone(),
-        news: gateway.news.clone(),
-        versions,
+        heartbeat_trigger: gateway.news.clone(),
+        versions_changed,
         started: Instant::now(),
-        demand_closed: Mutex::new(Instant::now()),
-        models_refreshed: Default::default(),
-        models_told: Default::default(),
-        directories: HeardVersions::default(),
-        peer_lives: PeerLives::default(),
+        demand_measured_at: Mutex::new(Instant::now()),
+        model_fit_throttle: Default::default(),
+        model_report_throttle: Default::default(),
+        directory_versions: PeerVersions::default(),
+        peer_restarts: PeerRestarts::default(),
         policies: PolicyDistribution::new(archive, transfers.clone()),
         transfers,
         zones: Default::default(),
-        quarantine_questions: Default::default(),
-        told_usage: Mutex::default(),
+        quarantine_request_throttle: Default::default(),
+        usage_deltas: Mutex::default(),
     }
 }
--- a/crates/beamwall-node/src/gateway/chooser.rs
+++ b/crates/beamwall-node/src/gateway/node_selector.rs
@@ -15,14 +15,14 @@
 /// Chooses nodes of this zone by weighted rendezvous hash among those alive: a node with a fast network link is
 /// chosen more often, because what it learns for the others passes over that link.
 #[derive(Clone)]
-pub struct ZoneChooser {
+pub struct NodeSelector {
     node: NodeId,
     zone: ZoneName,
     link_mbps: u32,
     members: Arc<ArcSwap<MembershipView>>,
 }
 
-impl ZoneChooser {
+impl NodeSelector {
     /// A chooser for one node, from what it knows of members.
     pub fn new(node: NodeId, zone: ZoneName, link_mbps: u32, members: Arc<ArcSwap<MembershipView>>) -> Self {
         Self { node, zone, link_mbps, members }
@@ -30,40 +30,40 @@
 
     /// Whether this node is among the `count` of its zone that do `what`. Nodes that drain are not
     /// counted: they are about to stop.
-    pub fn is_chosen(&self, what: &str, count: usize) -> bool {
-        self.is_among(what, count, |member| member.zone == self.zone)
+    pub fn is_selected(&self, task: &str, count: usize) -> bool {
+        self.is_selected_among(task, count, |member| member.zone == self.zone)
     }
 
     /// Whether this node is the one of all that does `what`. Where zones are cut off from each other, each side has one.
-    pub fn is_chosen_of_all(&self, what: &str) -> bool {
-        self.is_among(what, 1, |_| true)
+    pub fn is_selected_globally(&self, task: &str) -> bool {
+        self.is_selected_among(task, 1, |_| true)
     }
 
-    fn is_among(&self, what: &str, count: usize, is_asked: impl Fn(&Member) -> bool) -> bool {
+    fn is_selected_among(&self, task: &str, count: usize, is_eligible: impl Fn(&Member) -> bool) -> bool {
         let view = self.members.load();
         let alive =
             view.members.iter().filter(|member| member.state == MemberState::Alive && !member.draining);
         let mut candidates: Vec<(&str, f64)> = alive
-            .filter(|member| is_asked(member))
+            .filter(|member| is_eligible(member))
             .map(|member| (member.node.as_str(), link_weight(member.link_mbps)))
             .collect();
         candidates.push((self.node.as_str(), link_weight(self.link_mbps)));
-        rendezvous::choose_weighted(what.as_bytes(), &candidates, count).contains(&self.node.as_str())
+        rendezvous::choose_weighted(task.as_bytes(), &candidates, count).contains(&self.node.as_str())
     }
 
     /// Whether any other node is known. One that has just started knows none, and would choose itself for everything.
-    pub fn knows_others(&self) -> bool {
+    pub fn knows_other_nodes(&self) -> bool {
         !self.members.load().members.is_empty()
     }
 
     /// Nodes known beside this one.
-    pub fn nodes_known(&self) -> usize {
+    pub fn other_nodes_known(&self) -> usize {
         self.members.load().members.len()
     }
 
     /// Returns as soon as this node is chosen.
-    pub async fn wait_chosen(&self, what: &str, count: usize) {
-        while !self.is_chosen(what, count) {
+    pub async fn wait_until_selected(&self, task: &str, count: usize) {
+        while !self.is_selected(task, count) {
             tokio::time::sleep(CHECK_PERIOD).await;
         }
     }
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -8,22 +8,22 @@
 use beamwall_peer::gateway_message::{BackendSlowness, ServiceModel};
 use tokio::time::Instant;
 
-use crate::gateway::beat;
-use crate::gateway::exchange::Exchange;
+use crate::gateway::heartbeat_wire;
+use crate::gateway::peer_exchange::PeerExchange;
 
 /// Least time between two heartbeats that tell what was observed of services, for each peer told: about 200 bytes a
 /// service, so that they cost some 4 KB a second whatever the number of peers.
-const TELLING_PERIOD_PER_PEER: Duration = Duration::from_millis(50);
+const REPORT_PERIOD_PER_PEER: Duration = Duration::from_millis(50);
 /// The same whatever the number of peers: a service is known within some seconds.
-const LEAST_TELLING_PERIOD: Duration = Duration::from_secs(1);
+const MIN_REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Least time between two fits, however often heartbeats are sent: on 0.12 of a core a fit takes a millisecond.
-const REFRESH_PERIOD: Duration = Duration::from_millis(500);
+const FIT_PERIOD: Duration = Duration::from_millis(500);
 
-impl Exchange {
+impl PeerExchange {
     /// Fits the models of services anew, when it is time.
-    pub(super) fn refresh_models(&self) {
-        if !self.models_refreshed.admit(REFRESH_PERIOD) {
+    pub(super) fn fit_models(&self) {
+        if !self.model_fit_throttle.admit(FIT_PERIOD) {
             return;
         }
         let models = &self.gateway.forwarder.knowledge.models;
@@ -41,21 +41,21 @@
     /// What this node observed, for its peers; of services only now and then.
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
-        let slowness = beat::encode_slowness(models.own_slowness(Instant::now()));
-        let told = if self.is_time_to_tell_models() { models.own() } else { Vec::new() };
-        (beat::encode_models(told), slowness)
+        let slowness = heartbeat_wire::encode_slowness(models.own_slowness(Instant::now()));
+        let reported = if self.is_model_report_due() { models.own() } else { Vec::new() };
+        (heartbeat_wire::encode_models(reported), slowness)
     }
 
     /// What the nodes of this zone observed, for other zones.
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
-        let slowness = beat::encode_slowness(models.slowness_of(is_node, Instant::now()));
-        (beat::encode_models(models.sum_of(is_node)), slowness)
+        let slowness = heartbeat_wire::encode_slowness(models.slowness_of(is_node, Instant::now()));
+        (heartbeat_wire::encode_models(models.sum_of(is_node)), slowness)
     }
 
     /// Takes what somebody else observed. A heartbeat without sums leaves those told before.
-    pub(super) fn take_observations(
+    pub(super) fn apply_observations(
         &self,
         reporter: &Reporter,
         models: &[ServiceModel],
@@ -63,14 +63,14 @@
     ) {
         let known = &self.gateway.forwarder.knowledge.models;
         if !models.is_empty() {
-            known.set_peer(reporter, beat::decode_models(models));
+            known.set_peer(reporter, heartbeat_wire::decode_models(models));
         }
-        known.set_peer_slowness(reporter, beat::decode_slowness(slowness), Instant::now());
+        known.set_peer_slowness(reporter, heartbeat_wire::decode_slowness(slowness), Instant::now());
     }
 
-    fn is_time_to_tell_models(&self) -> bool {
+    fn is_model_report_due(&self) -> bool {
         let peers = u32::try_from(self.members.load().zone_size).unwrap_or(u32::MAX);
-        let period = LEAST_TELLING_PERIOD.max(TELLING_PERIOD_PER_PEER * peers);
-        self.models_told.admit(period)
+        let period = MIN_REPORT_PERIOD.max(REPORT_PERIOD_PER_PEER * peers);
+        self.model_report_throttle.admit(period)
     }
 }
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/peer_exchange.rs
@@ -27,40 +27,40 @@
 use crate::actors::directory::DirectoryActor;
 use crate::actors::membership::{Hear, Introduction, MembershipActor, Tick};
 use crate::actors::policy::PolicyActor;
-use crate::gateway::beat;
-use crate::gateway::chooser::ZoneChooser;
-use crate::gateway::heard_versions::HeardVersions;
-use crate::gateway::peer_lives::PeerLives;
-use crate::gateway::placing;
-use crate::gateway::policies::PolicyDistribution;
+use crate::gateway::counter_deltas::CounterDeltas;
+use crate::gateway::heartbeat_wire;
+use crate::gateway::node_selector::NodeSelector;
+use crate::gateway::peer_placement;
+use crate::gateway::peer_restarts::PeerRestarts;
+use crate::gateway::peer_versions::PeerVersions;
+use crate::gateway::policy_sync::PolicyDistribution;
 use crate::gateway::readiness::Readiness;
-use crate::gateway::told_figures::ToldFigures;
-use crate::gateway::zones::HeardZones;
+use crate::gateway::zone_summaries::RemoteZones;
 use crate::shared::MembershipView;
 
 /// Nodes that tell each other up to which every one speaks with every other; beyond, membership picks targets.
 const FULL_MESH_LIMIT: usize = 128;
 /// Time that a node's own watch gets to bring what a peer has, before the peer is asked.
-pub(super) const OWN_WATCH_TIME: Duration = Duration::from_millis(60);
+pub(super) const WATCH_HEAD_START: Duration = Duration::from_millis(60);
 /// Usage windows told in a heartbeat: the ones that may still be reported.
-pub(super) const TOLD_WINDOWS: usize = 3;
+pub(super) const REPORTED_WINDOWS: usize = 3;
 /// Nodes that get heartbeats up to which all are told of news at once.
-const ALL_TOLD_LIMIT: usize = 32;
+const FULL_ANNOUNCEMENT_LIMIT: usize = 32;
 /// Nodes told of news where there are more: with eight each, some three in 10,000 are missed.
-const NEWS_FAN_OUT: usize = 8;
+const ANNOUNCEMENT_FAN_OUT: usize = 8;
 /// Least time between two heartbeats.
-const LEAST_PERIOD: Duration = Duration::from_millis(40);
+const MIN_PERIOD: Duration = Duration::from_millis(40);
 /// The same for each member.
-const LEAST_PERIOD_PER_MEMBER: Duration = Duration::from_micros(2_500);
+const MIN_PERIOD_PER_MEMBER: Duration = Duration::from_micros(2_500);
 /// Nodes that tell each other up to which heartbeats keep the usual period.
-const USUAL_PERIOD_LIMIT: u32 = 12;
+const NORMAL_PERIOD_MAX_NODES: u32 = 12;
 /// Messages that wait to be handled, beside those that wait to be sorted.
-const WAITING_CAPACITY: usize = 4_096;
+const INBOX_CAPACITY: usize = 4_096;
 /// Longest wait for a peer's answer.
-pub(super) const ANSWER_LIMIT: Duration = Duration::from_millis(800);
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The sessions of one gateway with its peers.
-pub struct Exchange {
+pub struct PeerExchange {
     /// This node.
     pub node: NodeId,
     /// Its zone.
@@ -74,7 +74,7 @@
     /// Nodes assumed until more are known.
     pub expected_nodes: usize,
     /// Number of this life, under which usage is counted.
-    pub life: u64,
+    pub generation: u64,
     /// The network.
     pub network: Arc<PeerNetwork>,
     /// Who is alive.
@@ -92,36 +92,36 @@
     /// Whether this node takes callers.
     pub readiness: Arc<Readiness>,
     /// Chooses the nodes that watch the store for their zone.
-    pub chooser: ZoneChooser,
+    pub selector: NodeSelector,
     /// Told when peers should hear at once what quotas let pass.
-    pub news: Arc<Notify>,
+    pub heartbeat_trigger: Arc<Notify>,
     /// Told when a newer policy or list of back ends is held.
-    pub versions: Arc<Notify>,
+    pub versions_changed: Arc<Notify>,
     /// When this life began.
     pub started: Instant,
     /// When demand was last measured.
-    pub demand_closed: Mutex<Instant>,
+    pub demand_measured_at: Mutex<Instant>,
     /// When the models of services were last fitted.
-    pub models_refreshed: Throttle,
+    pub model_fit_throttle: Throttle,
     /// When what was observed of services was last told.
-    pub models_told: Throttle,
+    pub model_report_throttle: Throttle,
     /// The lists of back ends that peers hold.
-    pub directories: HeardVersions,
+    pub directory_versions: PeerVersions,
     /// How the lives of peers ended.
-    pub peer_lives: PeerLives,
+    pub peer_restarts: PeerRestarts,
     /// Paces what is sent for others' sake.
     pub transfers: Arc<TransferPacer>,
     /// The versions of the policy that are told and heard of.
     pub policies: PolicyDistribution,
     /// What is known of the other zones of a large deployment.
-    pub zones: HeardZones,
+    pub zones: RemoteZones,
     /// When this node may ask for what peers know of requests under which back ends end.
-    pub quarantine_questions: Throttle,
+    pub quarantine_request_throttle: Throttle,
     /// Usage as told to peers in a large deployment.
-    pub told_usage: Mutex<ToldFigures<(u64, TenantName)>>,
+    pub usage_deltas: Mutex<CounterDeltas<(u64, TenantName)>>,
 }
 
-impl Exchange {
+impl PeerExchange {
     /// Requests open at this node.
     pub fn open_requests(&self) -> u32 {
         self.gateway.forwarder.knowledge.loads.own().iter().map(|(_, load)| load.requests).sum()
@@ -129,7 +129,7 @@
 
     /// Members whose usage may not be complete here, because they are not heard and may still serve. Where the machine
     /// refuses connections the process has ended, and counts nothing more.
-    pub fn unheard(&self) -> usize {
+    pub fn members_not_heard(&self) -> usize {
         let may_serve =
             |member: &&Member| member.state != MemberState::Alive && !self.network.is_refused(member.address);
         self.members.load().members.iter().filter(may_serve).count()
@@ -142,22 +142,22 @@
 
     /// Sends heartbeats, every period and at once when quotas ask for it, and news of versions, until the task is
     /// ended.
-    pub async fn send_beats(self: Arc<Self>) {
+    pub async fn send_heartbeats(self: Arc<Self>) {
         let mut last_beat = Instant::now();
         loop {
-            let (period, pause) = self.beat_timing();
+            let (period, pause) = self.heartbeat_timing();
             tokio::select! {
                 biased;
                 () = tokio::time::sleep_until(last_beat + period) => {}
-                () = self.news.notified() => {}
-                () = self.versions.notified() => {
-                    self.tell_versions();
+                () = self.heartbeat_trigger.notified() => {}
+                () = self.versions_changed.notified() => {
+                    self.announce_versions();
                     tokio::time::sleep(pause).await;
                     continue;
                 }
             }
             last_beat = Instant::now();
-            self.beat().await;
+            self.send_heartbeat().await;
             tokio::time::sleep(pause).await;
         }
     }
@@ -165,53 +165,54 @@
     /// Tells what is held here to everyone who gets heartbeats; of other zones of a large deployment to their relays. In a
     /// large zone some are told, each of which tells some others once it holds the news: it reaches 100 nodes in three
     /// steps with eight messages a node instead of 99. The few that it misses hear of it by heartbeats.
-    fn tell_versions(&self) {
+    fn announce_versions(&self) {
         // A policy may bring tenants whose quotas are shared from now on.
         self.share_limits();
         let directory = self.directory.load();
-        let news = self.envelope(Body::VersionNews(VersionNews {
+        let announcement = self.envelope(Body::VersionNews(VersionNews {
             policy_version: self.gateway.policy.load().version(),
             directory_revision: directory.revision(),
             directory_digest: directory.digest(),
-            life: self.life,
+            life: self.generation,
         }));
         let view = self.members.load();
-        let mut told = self.targets(std::iter::empty());
-        if told.len() > ALL_TOLD_LIMIT {
-            told = told.into_iter().sample(&mut rand::rng(), NEWS_FAN_OUT).into_iter().collect();
+        let mut recipients = self.targets(std::iter::empty());
+        if recipients.len() > FULL_ANNOUNCEMENT_LIMIT {
+            recipients =
+                recipients.into_iter().sample(&mut rand::rng(), ANNOUNCEMENT_FAN_OUT).into_iter().collect();
         }
-        told.extend(view.relays_elsewhere.iter().copied());
-        told.remove(&self.address);
-        for address in told {
-            self.network.send(address, &news);
+        recipients.extend(view.relays_elsewhere.iter().copied());
+        recipients.remove(&self.address);
+        for address in recipients {
+            self.network.send(address, &announcement);
         }
     }
 
     /// The longest time between two heartbeats and the shortest: both grow with the number of members,
     /// since each heartbeat goes to all of them. In a large deployment the members of the zone count.
-    pub(super) fn beat_timing(&self) -> (Duration, Duration) {
+    pub(super) fn heartbeat_timing(&self) -> (Duration, Duration) {
         let view = self.members.load();
-        let told = if self.is_large() { view.zone_size } else { view.members.len() };
-        let told = u32::try_from(told).unwrap_or(u32::MAX);
+        let recipients = if self.is_large_deployment() { view.zone_size } else { view.members.len() };
+        let recipients = u32::try_from(recipients).unwrap_or(u32::MAX);
         let usual = MembershipTiming::default().period;
-        let period = if told > USUAL_PERIOD_LIMIT { usual * 2 } else { usual };
-        (period, LEAST_PERIOD.max(LEAST_PERIOD_PER_MEMBER * told))
+        let period = if recipients > NORMAL_PERIOD_MAX_NODES { usual * 2 } else { usual };
+        (period, MIN_PERIOD.max(MIN_PERIOD_PER_MEMBER * recipients))
     }
 
     /// Sends one heartbeat to every peer.
-    pub async fn beat(&self) {
+    pub async fn send_heartbeat(&self) {
         // The tick publishes when each member was last heard.
         let Ok(tick) = self.membership.ask(Tick).await else { return };
         self.share_limits();
-        let quota_uses = beat::encode_quota_uses(self.gateway.quotas.tell());
-        let demands = beat::encode_demands(self.close_demand_period());
-        self.refresh_models();
+        let quota_uses = heartbeat_wire::encode_quota_uses(self.gateway.quotas.tell());
+        let demands = heartbeat_wire::encode_demands(self.close_demand_period());
+        self.fit_models();
         self.note_silent_zones();
         self.gateway.forwarder.quarantine.forget_old();
         let (models, slowness) = self.own_observations();
-        let whole = self.to_reply(tick.updates);
-        let usage = if self.is_large() { self.usage_to_tell() } else { whole.usage };
-        let beat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..whole };
+        let base = self.heartbeat_without_quotas(tick.updates);
+        let usage = if self.is_large_deployment() { self.usage_delta() } else { base.usage };
+        let beat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..base };
         let probe = self.envelope(Body::GatewayBeat(GatewayBeat { wants_answer: true, ..beat.clone() }));
         let plain = self.envelope(Body::GatewayBeat(beat));
         let probed: HashSet<SocketAddr> =
@@ -219,7 +220,7 @@
         for address in self.targets(tick.targets.iter().map(|target| target.address)) {
             self.network.send(address, if probed.contains(&address) { &probe } else { &plain });
         }
-        self.exchange_zone_sums(&tick.targets);
+        self.send_zone_summaries(&tick.targets);
         for (node, address, probers) in tick.suspected {
             let body =
                 Body::ProbeRequest(ProbeRequest { node: node.to_string(), address: address.to_string() });
@@ -227,42 +228,46 @@
             probers.iter().for_each(|prober| self.network.send(*prober, &question));
         }
         for node in tick.died {
-            self.forget_work_of(&Reporter::Node(node));
+            self.forget_reporter(&Reporter::Node(node));
         }
     }
 
     /// Usage that the peers may not know: the whole takes some 600 bytes by the sizes of its fields, in each heartbeat to each.
-    fn usage_to_tell(&self) -> Vec<UsageWindow> {
-        let counted = self.gateway.forwarder.usage.recent(TOLD_WINDOWS).into_iter().flat_map(|window| {
+    fn usage_delta(&self) -> Vec<UsageWindow> {
+        let counted = self.gateway.forwarder.usage.recent(REPORTED_WINDOWS).into_iter().flat_map(|window| {
             window.counts.into_iter().map(move |(tenant, count)| ((window.window, tenant), count))
         });
-        let mut told = self.told_usage.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut deltas = self.usage_deltas.lock().unwrap_or_else(PoisonError::into_inner);
         let mut windows: BTreeMap<u64, WindowCounts> = BTreeMap::new();
-        for ((number, tenant), count) in told.next(counted.collect()) {
+        for ((number, tenant), count) in deltas.next_report(counted.collect()) {
             let empty = || WindowCounts { window: number, ..WindowCounts::default() };
             windows.entry(number).or_insert_with(empty).counts.insert(tenant, count);
         }
-        beat::encode_usage(windows.into_values().collect())
+        heartbeat_wire::encode_usage(windows.into_values().collect())
     }
 
     fn close_demand_period(&self) -> HashMap<ServiceName, Workload> {
-        let mut closed = self.demand_closed.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut measured_at = self.demand_measured_at.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let length = now.duration_since(std::mem::replace(&mut *closed, now));
+        let length = now.duration_since(std::mem::replace(&mut *measured_at, now));
         self.gateway.forwarder.demand.close_period(length)
     }
 
     /// Everyone alive while there are few, in a large deployment those of the zone; those that membership
     /// picks, and seeds not known yet.
-    pub(super) fn targets(&self, picked: impl Iterator<Item = SocketAddr>) -> HashSet<SocketAddr> {
+    pub(super) fn targets(
+        &self,
+        membership_targets: impl Iterator<Item = SocketAddr>,
+    ) -> HashSet<SocketAddr> {
         let view = self.members.load();
-        let mut targets: HashSet<SocketAddr> = picked.collect();
-        let is_large = self.is_large();
-        let is_told = |member: &&Member| {
-            member.state <= MemberState::Suspect && (!is_large || member.zone == self.zone)
+        let mut targets: HashSet<SocketAddr> = membership_targets.collect();
+        let is_large_deployment = self.is_large_deployment();
+        let is_recipient = |member: &&Member| {
+            member.state <= MemberState::Suspect && (!is_large_deployment || member.zone == self.zone)
         };
-        targets
-            .extend(view.members.iter().filter(is_told).take(FULL_MESH_LIMIT).map(|member| member.address));
+        targets.extend(
+            view.members.iter().filter(is_recipient).take(FULL_MESH_LIMIT).map(|member| member.address),
+        );
         let is_known = |seed: &&SocketAddr| view.members.iter().any(|member| member.address == **seed);
         targets.extend(self.seeds.iter().filter(|seed| !is_known(seed)));
         targets.remove(&self.address);
@@ -270,7 +275,7 @@
     }
 
     /// A heartbeat for one peer: without quota uses, which all must be told together.
-    fn to_reply(&self, members: Vec<MemberUpdate>) -> GatewayBeat {
+    fn heartbeat_without_quotas(&self, members: Vec<MemberUpdate>) -> GatewayBeat {
         let directory = self.directory.load();
         let forwarder = &self.gateway.forwarder;
         GatewayBeat {
@@ -283,11 +288,11 @@
             demands: Vec::new(),
             models: Vec::new(),
             slowness: Vec::new(),
-            loads: beat::encode_loads(forwarder.knowledge.loads.own()),
-            life: self.life,
-            usage: beat::encode_usage(forwarder.usage.recent(TOLD_WINDOWS)),
+            loads: heartbeat_wire::encode_loads(forwarder.knowledge.loads.own()),
+            life: self.generation,
+            usage: heartbeat_wire::encode_usage(forwarder.usage.recent(REPORTED_WINDOWS)),
             members_known: u32::try_from(self.members.load().members.len()).unwrap_or(u32::MAX),
-            rollouts: self.rollouts_to_tell(),
+            rollouts: self.node_rollout_news(),
             time_ms: since_1970_ms(SystemTime::now()),
             quarantine_digest: self.quarantine_digest(),
         }
@@ -313,23 +318,23 @@
     /// Handles messages until the network closes. Questions for placements don't wait behind other messages: a caller
     /// waits for each, and a zone sends hundreds of heartbeats a second.
     pub async fn receive(self: Arc<Self>, mut inbox: mpsc::Receiver<Envelope>) {
-        let (others, waiting) = mpsc::channel(WAITING_CAPACITY);
+        let (other_messages, waiting) = mpsc::channel(INBOX_CAPACITY);
         let handling = self.clone().handle_all(waiting);
-        let sorting = async {
-            let others = others;
+        let dispatching = async {
+            let other_messages = other_messages;
             while let Some(mut envelope) = inbox.recv().await {
                 match envelope.body.take() {
                     Some(Body::PlacementRequest(request)) => self.answer_placement(&envelope, request),
                     body => {
                         envelope.body = body;
-                        if others.send(envelope).await.is_err() {
+                        if other_messages.send(envelope).await.is_err() {
                             return;
                         }
                     }
                 }
             }
         };
-        tokio::join!(handling, sorting);
+        tokio::join!(handling, dispatching);
     }
 
     async fn handle_all(self: Arc<Self>, mut waiting: mpsc::Receiver<Envelope>) {
@@ -340,29 +345,29 @@
 
     async fn handle(self: &Arc<Self>, mut envelope: Envelope) {
         let body = envelope.body.take();
-        self.note_life(&envelope, body.as_ref());
+        self.note_generation(&envelope, body.as_ref());
         let (members, knows) = match &body {
             Some(Body::GatewayBeat(beat)) => (beat.members.clone(), beat.members_known as usize),
             _ => (Vec::new(), 0),
         };
-        let hear = Hear { envelope: envelope.clone(), members, knows: (knows > 0).then_some(knows) };
-        if let Ok(Introduction(members)) = self.membership.ask(hear).await
+        let receipt = Hear { envelope: envelope.clone(), members, knows: (knows > 0).then_some(knows) };
+        if let Ok(Introduction(members)) = self.membership.ask(receipt).await
             && !members.is_empty()
         {
-            let introduction = GatewayBeat { members, ..self.to_reply(Vec::new()) };
+            let introduction = GatewayBeat { members, ..self.heartbeat_without_quotas(Vec::new()) };
             self.reply(&envelope, Body::GatewayBeat(introduction));
         }
         match body {
-            Some(Body::GatewayBeat(beat)) => self.take_beat(&envelope, beat),
-            Some(Body::VersionNews(news)) => self.take_versions(&envelope, news),
-            Some(Body::ZoneSummary(summary)) => self.take_zone_sum(&envelope, summary),
-            Some(Body::ProbeRequest(probe)) => self.probe_for(&probe),
+            Some(Body::GatewayBeat(beat)) => self.handle_heartbeat(&envelope, beat),
+            Some(Body::VersionNews(news)) => self.handle_versions(&envelope, news),
+            Some(Body::ZoneSummary(summary)) => self.handle_zone_summary(&envelope, summary),
+            Some(Body::ProbeRequest(probe)) => self.probe_on_behalf(&probe),
             Some(Body::PolicyRequest(request)) => {
                 let answer = self.policies.answer(request, Instant::now());
                 self.reply(&envelope, Body::PolicyAnswer(answer));
             }
-            Some(Body::QuarantineNews(news)) => self.take_quarantine_news(&envelope, &news),
-            Some(Body::QuarantineRequest(_)) => self.answer_quarantine(&envelope),
+            Some(Body::QuarantineNews(news)) => self.handle_quarantine_news(&envelope, &news),
+            Some(Body::QuarantineRequest(_)) => self.send_all_evidence(&envelope),
             Some(Body::UsageRequest(_)) => self.answer_usage(&envelope),
             Some(Body::DirectoryRequest(request)) => {
                 self.reply(&envelope, Body::DirectoryAnswer(self.answer_directory(request)));
@@ -380,61 +385,65 @@
     /// Places a request for a peer. It tells nothing of members, and there are many, so membership does not
     /// hear of it.
     fn answer_placement(&self, envelope: &Envelope, request: PlacementRequest) {
-        let question = placing::decode(request, envelope);
+        let question = peer_placement::decode(request, envelope);
         let choice = self.gateway.forwarder.place(&question);
-        self.reply(envelope, Body::PlacementReply(placing::encode_reply(choice)));
+        self.reply(envelope, Body::PlacementReply(peer_placement::encode_reply(choice)));
     }
 
-    fn probe_for(&self, probe: &ProbeRequest) {
+    fn probe_on_behalf(&self, probe: &ProbeRequest) {
         if let Ok(address) = probe.address.parse() {
-            let beat = GatewayBeat { wants_answer: true, ..self.to_reply(Vec::new()) };
+            let beat = GatewayBeat { wants_answer: true, ..self.heartbeat_without_quotas(Vec::new()) };
             self.network.send(address, &self.envelope(Body::GatewayBeat(beat)));
         }
     }
 
-    fn take_versions(self: &Arc<Self>, envelope: &Envelope, news: VersionNews) {
+    fn handle_versions(self: &Arc<Self>, envelope: &Envelope, versions: VersionNews) {
         let Ok(address) = envelope.address.parse() else { return };
-        self.hear_policy_version(address, news.policy_version);
-        self.hear_directory(address, news.directory_revision, news.directory_digest);
+        self.note_policy_version(address, versions.policy_version);
+        self.note_directory_revision(address, versions.directory_revision, versions.directory_digest);
     }
 
-    fn take_beat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayBeat) {
+    fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayBeat) {
         if beat.time_ms > 0 {
-            let told = UNIX_EPOCH + Duration::from_millis(beat.time_ms);
-            self.gateway.forwarder.clock.hear(&NodeId::new(&envelope.sender), told, beamwall_clock::now());
+            let sender_time = UNIX_EPOCH + Duration::from_millis(beat.time_ms);
+            self.gateway.forwarder.clock.hear(
+                &NodeId::new(&envelope.sender),
+                sender_time,
+                beamwall_clock::now(),
+            );
         }
         if beat.wants_answer {
-            self.reply(envelope, Body::GatewayBeat(self.to_reply(Vec::new())));
+            self.reply(envelope, Body::GatewayBeat(self.heartbeat_without_quotas(Vec::new())));
         }
-        let held = VersionNews {
+        let versions = VersionNews {
             policy_version: beat.policy_version,
             directory_revision: beat.directory_revision,
             directory_digest: beat.directory_digest,
             life: beat.life,
         };
-        self.take_versions(envelope, held);
-        self.hear_quarantine_digest(envelope, beat.quarantine_digest);
+        self.handle_versions(envelope, versions);
+        self.compare_quarantine_digest(envelope, beat.quarantine_digest);
         // In a large deployment the work of other zones comes as sums.
-        if self.is_close(envelope) {
-            self.take_work(&envelope.sender, beat);
+        if self.is_direct_peer(envelope) {
+            self.apply_node_report(&envelope.sender, beat);
         }
     }
 
     /// Whether a message is from a node that tells this one its own work.
-    pub(super) fn is_close(&self, envelope: &Envelope) -> bool {
-        !self.is_large() || envelope.zone == self.zone.as_str()
+    pub(super) fn is_direct_peer(&self, envelope: &Envelope) -> bool {
+        !self.is_large_deployment() || envelope.zone == self.zone.as_str()
     }
 
     /// Notes the life in which a close peer sent a message, where the message tells it, before anything else of it is taken: the
     /// members as known until now may have an earlier life of a peer of which others told.
-    fn note_life(&self, envelope: &Envelope, body: Option<&Body>) {
-        let life = match body {
+    fn note_generation(&self, envelope: &Envelope, body: Option<&Body>) {
+        let generation = match body {
             Some(Body::GatewayBeat(beat)) => beat.life,
             Some(Body::VersionNews(news)) => news.life,
             _ => 0,
         };
-        if life > 0 && self.is_close(envelope) {
-            self.peer_lives.note(envelope, life, || self.member(&envelope.sender));
+        if generation > 0 && self.is_direct_peer(envelope) {
+            self.peer_restarts.note(envelope, generation, || self.member(&envelope.sender));
         }
     }
 
@@ -443,20 +452,20 @@
     }
 
     /// Takes what a node tells of its own work.
-    fn take_work(&self, sender: &str, beat: GatewayBeat) {
+    fn apply_node_report(&self, sender: &str, beat: GatewayBeat) {
         let node = NodeId::new(sender);
         if let Some(news) = &beat.rollouts {
-            self.take_rollouts_of_node(&node, beat.life, news);
+            self.apply_node_rollouts(&node, beat.life, news);
         }
         let reporter = Reporter::Node(node.clone());
         let forwarder = &self.gateway.forwarder;
-        forwarder.knowledge.loads.set_peer(&reporter, beat::decode_loads(beat.loads));
-        forwarder.usage.merge(&node, beat.life, beat::decode_usage(beat.usage));
+        forwarder.knowledge.loads.set_peer(&reporter, heartbeat_wire::decode_loads(beat.loads));
+        forwarder.usage.merge(&node, beat.life, heartbeat_wire::decode_usage(beat.usage));
         if !beat.demands.is_empty() {
-            forwarder.demand.set_peer(&reporter, beat::decode_demands(&beat.demands));
+            forwarder.demand.set_peer(&reporter, heartbeat_wire::decode_demands(&beat.demands));
         }
-        self.take_observations(&reporter, &beat.models, &beat.slowness);
-        let uses = beat::decode_quota_uses(&beat.quota_uses);
+        self.apply_observations(&reporter, &beat.models, &beat.slowness);
+        let uses = heartbeat_wire::decode_quota_uses(&beat.quota_uses);
         self.gateway.quotas.hear(&node, beat.life, uses, Instant::now());
     }
 }
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/peer_placement.rs
@@ -17,20 +17,20 @@
 use beamwall_peer::{Body, Envelope, PeerNetwork};
 use tokio::time::Instant;
 
-use crate::gateway::beat;
-use crate::gateway::placers::{Asker, Placer, Placers};
+use crate::gateway::heartbeat_wire;
+use crate::gateway::placement_router::{LocalNode, PlacementRouter, PlacementTarget};
 use crate::shared::MembershipView;
 
 /// Longest wait for a placement: a small part of the tightest objective.
-const ANSWER_LIMIT: Duration = Duration::from_millis(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Asks the nodes that place model requests.
 pub struct PeerPlacement {
     envelope: Envelope,
-    asker: Asker,
+    local: LocalNode,
     network: Arc<PeerNetwork>,
     members: Arc<ArcSwap<MembershipView>>,
-    placers: Mutex<Placers>,
+    router: Mutex<PlacementRouter>,
 }
 
 impl PeerPlacement {
@@ -47,13 +47,16 @@
             link_mbps: settings.link_mbps,
             ..Envelope::default()
         };
-        let asker =
-            Asker { node: settings.node.clone(), zone: settings.zone.clone(), link_mbps: settings.link_mbps };
-        Self { envelope, asker, network, members, placers: Mutex::default() }
+        let local = LocalNode {
+            node: settings.node.clone(),
+            zone: settings.zone.clone(),
+            link_mbps: settings.link_mbps,
+        };
+        Self { envelope, local, network, members, router: Mutex::default() }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Placers> {
-        self.placers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PlacementRouter> {
+        self.router.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn note_miss(&self, node: &NodeId) {
@@ -67,21 +70,21 @@
 impl PlacementPort for PeerPlacement {
     async fn place(&self, question: &PlacementQuestion) -> PlacementAnswer {
         let view = self.members.load_full();
-        let placer = self.lock().find(&self.asker, &view, question.group, Instant::now());
-        let Placer::Peer(placer) = placer else { return PlacementAnswer::PlaceHere };
+        let target = self.lock().select_target(&self.local, &view, question.group, Instant::now());
+        let PlacementTarget::Peer(target) = target else { return PlacementAnswer::PlaceHere };
         let body = Body::PlacementRequest(encode(question));
         let envelope = Envelope { body: Some(body), ..self.envelope.clone() };
         let stood_still = running::stood_still();
-        match self.network.ask(placer.address, envelope, ANSWER_LIMIT).await.map(|answer| answer.body) {
+        match self.network.ask(target.address, envelope, ANSWER_TIMEOUT).await.map(|answer| answer.body) {
             Ok(Some(Body::PlacementReply(reply))) if !reply.backend.is_empty() => {
-                self.lock().note_answer(&placer.node);
-                PlacementAnswer::Chosen(decode_reply(&reply, placer.node))
+                self.lock().note_answer(&target.node);
+                PlacementAnswer::Chosen(decode_reply(&reply, target.node))
             }
             // It found no engine, as a node that has just started, or did not answer in time.
             Ok(_) | Err(_) => {
                 // Its answer may lie unread where this process did not run.
                 if running::stood_still() == stood_still {
-                    self.note_miss(&placer.node);
+                    self.note_miss(&target.node);
                 }
                 PlacementAnswer::Unanswered
             }
@@ -103,7 +106,7 @@
         group: question.group.number,
         groups: question.group.count,
         enough_ms: question.enough_ms,
-        observed: beat::encode_slowness(question.observed.clone()),
+        observed: heartbeat_wire::encode_slowness(question.observed.clone()),
     }
 }
 
@@ -121,7 +124,7 @@
         remaining: Duration::from_millis(request.remaining_ms),
         group: EngineGroup { number: request.group, count: request.groups.max(1) },
         enough_ms: request.enough_ms,
-        observed: beat::decode_slowness(&request.observed),
+        observed: heartbeat_wire::decode_slowness(&request.observed),
     }
 }
 
--- a/crates/beamwall-node/src/gateway/peer_lives.rs
+++ b/crates/beamwall-node/src/gateway/peer_restarts.rs
@@ -14,27 +14,27 @@
 
 /// The last life of each peer that tells its own.
 #[derive(Debug, Default)]
-pub struct PeerLives {
-    last: Mutex<HashMap<NodeId, Life>>,
+pub struct PeerRestarts {
+    last: Mutex<HashMap<NodeId, PeerRun>>,
     ended_abruptly: AtomicU64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Life {
-    number: u64,
+struct PeerRun {
+    generation: u64,
     was_draining: bool,
 }
 
 /// The life of a peer that is heard for the first time, in the life `number`. Incarnations begin with the number of the life.
-fn first_life(number: u64, member: Option<Member>) -> Life {
-    let earlier = member.filter(|member| member.incarnation < number);
-    earlier.map_or(Life { number, was_draining: false }, |member| Life {
-        number: member.incarnation,
+fn first_run(generation: u64, member: Option<Member>) -> PeerRun {
+    let earlier = member.filter(|member| member.incarnation < generation);
+    earlier.map_or(PeerRun { generation, was_draining: false }, |member| PeerRun {
+        generation: member.incarnation,
         was_draining: member.draining || member.state == MemberState::Left,
     })
 }
 
-impl PeerLives {
+impl PeerRestarts {
     /// Peers' lives that ended without a drain since this node's start.
     pub fn ended_abruptly(&self) -> u64 {
         self.ended_abruptly.load(Ordering::Relaxed)
@@ -42,24 +42,24 @@
 
     /// Notes the life in which a peer sent a message, and tells how the one before it ended. Of a peer that is heard for the first
     /// time, `member` gives what others have told: it may have ended before it said a word to this node.
-    pub(super) fn note(&self, envelope: &Envelope, number: u64, member: impl FnOnce() -> Option<Member>) {
+    pub(super) fn note(&self, envelope: &Envelope, generation: u64, member: impl FnOnce() -> Option<Member>) {
         let peer = NodeId::new(&envelope.sender);
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let life = last.entry(peer).or_insert_with(|| first_life(number, member()));
-        if number < life.number {
+        let current_run = last.entry(peer).or_insert_with(|| first_run(generation, member()));
+        if generation < current_run.generation {
             return;
         }
-        let ended = (number > life.number).then_some(*life);
-        *life = Life { number, was_draining: envelope.draining };
+        let previous_run = (generation > current_run.generation).then_some(*current_run);
+        *current_run = PeerRun { generation, was_draining: envelope.draining };
         drop(last);
-        if let Some(ended) = ended {
-            self.tell(envelope, ended);
+        if let Some(previous_run) = previous_run {
+            self.log_previous_end(envelope, previous_run);
         }
     }
 
-    fn tell(&self, envelope: &Envelope, ended: Life) {
+    fn log_previous_end(&self, envelope: &Envelope, previous_run: PeerRun) {
         let (peer, zone) = (envelope.sender.clone(), envelope.zone.clone());
-        if ended.was_draining {
+        if previous_run.was_draining {
             emit(&PeerRestarted { peer, zone });
         } else {
             self.ended_abruptly.fetch_add(1, Ordering::Relaxed);
--- a/crates/beamwall-node/src/gateway/heard_versions.rs
+++ b/crates/beamwall-node/src/gateway/peer_versions.rs
@@ -12,7 +12,7 @@
 
 /// What is known of the versions of one thing that peers hold.
 #[derive(Debug, Default)]
-pub struct HeardVersions {
+pub struct PeerVersions {
     state: Mutex<State>,
 }
 
@@ -27,13 +27,13 @@
     is_fetching: bool,
 }
 
-impl HeardVersions {
+impl PeerVersions {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The newest version that a peer told, and for how long this node has lacked it.
-    pub fn told(&self) -> (u64, Duration) {
+    pub fn newest_reported(&self) -> (u64, Duration) {
         let state = self.lock();
         (state.newest, state.behind_since.map_or(Duration::ZERO, |since| since.elapsed()))
     }
@@ -56,18 +56,18 @@
     }
 
     /// A peer that holds the newest version; `None` when this node holds it too, or no such peer is known.
-    pub(super) fn holder(&self, held: u64) -> Option<SocketAddr> {
+    pub(super) fn pick_holder(&self, held: u64) -> Option<SocketAddr> {
         let state = self.lock();
         if state.newest <= held { None } else { state.holders.choose(&mut rand::rng()).copied() }
     }
 
     /// Forgets that a peer holds the newest version: it did not give it.
-    pub(super) fn drop_holder(&self, peer: SocketAddr) {
+    pub(super) fn remove_holder(&self, peer: SocketAddr) {
         self.lock().holders.retain(|holder| *holder != peer);
     }
 
     /// Ends asking. A node that still lacks the version starts again when it next hears of it.
-    pub(super) fn end_fetching(&self, held: u64) {
+    pub(super) fn finish_fetch(&self, held: u64) {
         let mut state = self.lock();
         state.is_fetching = false;
         if held >= state.newest {
--- a/crates/beamwall-node/src/gateway/placers.rs
+++ b/crates/beamwall-node/src/gateway/placement_router.rs
@@ -20,7 +20,7 @@
 use crate::shared::MembershipView;
 
 /// The duty by whose hash the nodes are found.
-const PLACEMENT: &[u8] = b"placement";
+const HASH_KEY: &[u8] = b"placement";
 /// Time after a missing answer in which a node is not asked. It doubles with each further miss.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// Longest such time: about as long as membership takes to find a node dead.
@@ -28,7 +28,7 @@
 
 /// The node that asks.
 #[derive(Debug, Clone)]
-pub struct Asker {
+pub struct LocalNode {
     /// Its name.
     pub node: NodeId,
     /// Its zone.
@@ -39,9 +39,9 @@
 
 /// Who places in a group.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Placer {
+pub enum PlacementTarget {
     /// The node that asks.
-    Asker,
+    Local,
     /// Another node.
     Peer(Box<Member>),
 }
@@ -54,54 +54,54 @@
 
 /// The placing nodes as one node sees them.
 #[derive(Debug, Default)]
-pub struct Placers {
+pub struct PlacementRouter {
     /// The members among whom `first` were found.
     view: Option<Arc<MembershipView>>,
     /// The node that all ask, by group; `None`: the asker.
-    first: HashMap<EngineGroup, Option<Member>>,
+    primary: HashMap<EngineGroup, Option<Member>>,
     /// Nodes that did not answer.
     paused: HashMap<NodeId, Pause>,
 }
 
-impl Placers {
+impl PlacementRouter {
     /// The node that all ask for a choice in `group`, as long as it answers; `None`: the asker.
-    pub fn first(
+    pub fn primary(
         &mut self,
-        asker: &Asker,
+        local: &LocalNode,
         view: &Arc<MembershipView>,
         group: EngineGroup,
     ) -> &Option<Member> {
         if !self.view.as_ref().is_some_and(|known| Arc::ptr_eq(known, view)) {
-            self.first.clear();
+            self.primary.clear();
             self.view = Some(view.clone());
         }
-        self.first.entry(group).or_insert_with(|| {
-            let nodes = view.members.iter().filter(|member| may_place(member, asker));
-            choose(asker, nodes, group)
+        self.primary.entry(group).or_insert_with(|| {
+            let nodes = view.members.iter().filter(|member| may_place(member, local));
+            choose_by_hash(local, nodes, group)
         })
     }
 
     /// The node to ask for a choice in `group`.
-    pub fn find(
+    pub fn select_target(
         &mut self,
-        asker: &Asker,
+        local: &LocalNode,
         view: &Arc<MembershipView>,
         group: EngineGroup,
         now: Instant,
-    ) -> Placer {
-        let first = self.first(asker, view, group).clone();
-        let chosen = match first {
+    ) -> PlacementTarget {
+        let primary = self.primary(local, view, group).clone();
+        let chosen = match primary {
             Some(member) if is_paused(&self.paused, &member.node, now) => {
                 let close = view.members.iter().filter(|member| {
-                    member.zone == asker.zone
+                    member.zone == local.zone
                         && member.is_usable()
                         && !is_paused(&self.paused, &member.node, now)
                 });
-                choose(asker, close, group)
+                choose_by_hash(local, close, group)
             }
-            first => first,
+            primary => primary,
         };
-        chosen.map_or(Placer::Asker, |member| Placer::Peer(Box::new(member)))
+        chosen.map_or(PlacementTarget::Local, |member| PlacementTarget::Peer(Box::new(member)))
     }
 
     /// Notes that a node did not answer in time; gives the time for which it is not asked, where that is new.
@@ -127,18 +127,22 @@
 
 /// Whether a member may place for all. Of another zone's only membership tells; one that is not ready says so when
 /// it is asked.
-fn may_place(member: &Member, asker: &Asker) -> bool {
-    if member.zone == asker.zone { member.is_usable() } else { member.state == MemberState::Alive }
+fn may_place(member: &Member, local: &LocalNode) -> bool {
+    if member.zone == local.zone { member.is_usable() } else { member.state == MemberState::Alive }
 }
 
 /// Of these nodes and the asker the one that places in `group`; `None`: the asker. One with a fast network link
 /// is chosen more often: all questions and answers pass over it.
-fn choose<'a>(asker: &Asker, nodes: impl Iterator<Item = &'a Member>, group: EngineGroup) -> Option<Member> {
+fn choose_by_hash<'a>(
+    local: &LocalNode,
+    nodes: impl Iterator<Item = &'a Member>,
+    group: EngineGroup,
+) -> Option<Member> {
     let nodes: Vec<&Member> = nodes.collect();
     let mut candidates: Vec<(&str, f64)> =
         nodes.iter().map(|member| (member.node.as_str(), link_weight(member.link_mbps))).collect();
-    candidates.push((asker.node.as_str(), link_weight(asker.link_mbps)));
-    let key = [PLACEMENT, &group.number.to_be_bytes()].concat();
+    candidates.push((local.node.as_str(), link_weight(local.link_mbps)));
+    let key = [HASH_KEY, &group.number.to_be_bytes()].concat();
     let chosen = rendezvous::choose_weighted(&key, &candidates, 1).into_iter().next()?;
     nodes.into_iter().find(|member| member.node.as_str() == chosen).cloned()
 }
--- a/crates/beamwall-node/src/gateway/policies.rs
+++ b/crates/beamwall-node/src/gateway/policy_sync.rs
@@ -17,15 +17,15 @@
 use tokio::time::Instant;
 
 use crate::actors::policy::ApplyPolicyChange;
-use crate::gateway::exchange::{ANSWER_LIMIT, Exchange, OWN_WATCH_TIME};
-use crate::gateway::heard_versions::{HeardVersions, pause_for_busy, to_busy_ms};
-use crate::gateway::watches::{POLICY, WATCHERS_PER_ZONE};
+use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
+use crate::gateway::peer_versions::{PeerVersions, pause_for_busy, to_busy_ms};
+use crate::gateway::store_watch::{POLICY, WATCHERS_PER_ZONE};
 
 /// Time after which a node that lacks a version that others hold says so: an eighth of the 8 s within which an
 /// accepted edit must be in force everywhere.
 const BEHIND_AFTER: Duration = Duration::from_secs(1);
 /// Encoded changes that are kept: nodes that ask within a moment mostly hold the same few versions.
-const KEPT_ENCODED: usize = 8;
+const ENCODED_CACHE_SIZE: usize = 8;
 
 /// One encoded change, and what it was made for.
 #[derive(Debug)]
@@ -40,19 +40,19 @@
 pub struct PolicyDistribution {
     archive: Arc<PolicyArchive>,
     transfers: Arc<TransferPacer>,
-    heard: HeardVersions,
+    peer_versions: PeerVersions,
     encoded: Mutex<Vec<EncodedChange>>,
 }
 
 impl PolicyDistribution {
     /// Tells from `archive`, at the pace of `transfers`.
     pub fn new(archive: Arc<PolicyArchive>, transfers: Arc<TransferPacer>) -> Self {
-        Self { archive, transfers, heard: HeardVersions::default(), encoded: Mutex::default() }
+        Self { archive, transfers, peer_versions: PeerVersions::default(), encoded: Mutex::default() }
     }
 
     /// The newest version that a peer told, and for how long this node has lacked it.
-    pub fn told(&self) -> (u64, Duration) {
-        self.heard.told()
+    pub fn newest_reported(&self) -> (u64, Duration) {
+        self.peer_versions.newest_reported()
     }
 
     /// The answer to a peer that asks what changed.
@@ -79,7 +79,7 @@
                 return None;
             }
         };
-        if encoded.len() == KEPT_ENCODED {
+        if encoded.len() == ENCODED_CACHE_SIZE {
             encoded.remove(0);
         }
         encoded.push(EncodedChange { request, version: change.version, change: bytes.clone() });
@@ -87,10 +87,10 @@
     }
 }
 
-impl Exchange {
+impl PeerExchange {
     /// Takes the version that a peer tells, and asks for it where this node lacks it.
-    pub(super) fn hear_policy_version(self: &Arc<Self>, peer: SocketAddr, version: u64) {
-        if self.policies.heard.note(peer, version, self.policy_version()) {
+    pub(super) fn note_policy_version(self: &Arc<Self>, peer: SocketAddr, version: u64) {
+        if self.policies.peer_versions.note(peer, version, self.policy_version()) {
             tokio::spawn(self.clone().fetch_policy());
         }
     }
@@ -101,39 +101,39 @@
 
     /// Asks peers until this node holds the newest version told, or none that holds it answers.
     async fn fetch_policy(self: Arc<Self>) {
-        if self.chooser.is_chosen(POLICY, WATCHERS_PER_ZONE) {
-            tokio::time::sleep(OWN_WATCH_TIME).await;
+        if self.selector.is_selected(POLICY, WATCHERS_PER_ZONE) {
+            tokio::time::sleep(WATCH_HEAD_START).await;
         }
         let mut wants_whole = false;
-        let mut has_told = false;
-        while let Some(peer) = self.policies.heard.holder(self.policy_version()) {
+        let mut has_logged = false;
+        while let Some(peer) = self.policies.peer_versions.pick_holder(self.policy_version()) {
             match self.ask_for_change(peer, wants_whole).await {
-                Fetched::Applied => wants_whole = false,
-                Fetched::Unusable => wants_whole = true,
-                Fetched::Busy(busy_for_ms) => pause_for_busy(busy_for_ms).await,
-                Fetched::Unanswered => self.policies.heard.drop_holder(peer),
+                FetchResult::Applied => wants_whole = false,
+                FetchResult::Unusable => wants_whole = true,
+                FetchResult::Busy(busy_for_ms) => pause_for_busy(busy_for_ms).await,
+                FetchResult::Unanswered => self.policies.peer_versions.remove_holder(peer),
             }
-            has_told = has_told || self.tell_if_behind();
+            has_logged = has_logged || self.log_if_behind();
         }
-        self.policies.heard.end_fetching(self.policy_version());
+        self.policies.peer_versions.finish_fetch(self.policy_version());
     }
 
     /// Says that this node has lacked a version for long; returns whether it has.
-    fn tell_if_behind(&self) -> bool {
-        let (told, behind) = self.policies.told();
+    fn log_if_behind(&self) -> bool {
+        let (newest_peer_version, behind) = self.policies.newest_reported();
         let held = self.policy_version();
-        if held >= told || behind < BEHIND_AFTER {
+        if held >= newest_peer_version || behind < BEHIND_AFTER {
             return false;
         }
         emit(&PolicyBehind {
             held: held.to_string(),
-            told: told.to_string(),
+            told: newest_peer_version.to_string(),
             behind_ms: behind.as_millis().to_string(),
         });
         true
     }
 
-    async fn ask_for_change(&self, peer: SocketAddr, wants_whole: bool) -> Fetched {
+    async fn ask_for_change(&self, peer: SocketAddr, wants_whole: bool) -> FetchResult {
         let held = self.gateway.policy.load().policy().clone();
         let request = if wants_whole || held.version == 0 {
             PolicyRequest::default()
@@ -141,22 +141,22 @@
             PolicyRequest { held_version: held.version, held_digest: held.digest() }
         };
         let question = self.envelope(Body::PolicyRequest(request));
-        let answer = match self.network.ask(peer, question, ANSWER_LIMIT).await.map(|envelope| envelope.body)
-        {
-            Ok(Some(Body::PolicyAnswer(answer))) => answer,
-            _ => return Fetched::Unanswered,
-        };
+        let answer =
+            match self.network.ask(peer, question, ANSWER_TIMEOUT).await.map(|envelope| envelope.body) {
+                Ok(Some(Body::PolicyAnswer(answer))) => answer,
+                _ => return FetchResult::Unanswered,
+            };
         if answer.busy_for_ms > 0 {
-            return Fetched::Busy(answer.busy_for_ms);
+            return FetchResult::Busy(answer.busy_for_ms);
         }
         if answer.change.is_empty() {
-            return Fetched::Unanswered;
+            return FetchResult::Unanswered;
         }
         match self.apply(peer, &answer.change).await {
-            Ok(()) => Fetched::Applied,
+            Ok(()) => FetchResult::Applied,
             Err(reason) => {
                 emit(&PolicyChangeUnusable { peer: peer.to_string(), reason });
-                if wants_whole { Fetched::Unanswered } else { Fetched::Unusable }
+                if wants_whole { FetchResult::Unanswered } else { FetchResult::Unusable }
             }
         }
     }
@@ -169,7 +169,7 @@
 }
 
 /// What came of asking one peer.
-enum Fetched {
+enum FetchResult {
     /// What changed is in force.
     Applied,
     /// What it told can't be applied to the version held.
--- a/crates/beamwall-node/src/gateway/quarantine_news.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -13,23 +13,23 @@
 use prost::Message;
 use tokio::time::Instant;
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::quarantine_wire::{decode, encode};
 
 /// Least time between two questions for all that a peer knows: while news is on its way, digests differ for some milliseconds.
-const QUESTION_PAUSE: Duration = Duration::from_millis(300);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-impl Exchange {
+impl PeerExchange {
     /// Tells what this node saw, each time that it saw something, until the task is ended.
-    pub async fn tell_quarantine(self: Arc<Self>) {
+    pub async fn broadcast_evidence(self: Arc<Self>) {
         let quarantine = self.gateway.forwarder.quarantine.clone();
         loop {
-            let untold = quarantine.next_untold().await;
-            let news = self.envelope(Body::QuarantineNews(encode(&untold)));
-            let mut told = self.targets(std::iter::empty());
-            told.extend(self.members.load().relays_elsewhere.iter().copied());
-            told.remove(&self.address);
-            for address in told {
+            let unsent = quarantine.next_untold().await;
+            let news = self.envelope(Body::QuarantineNews(encode(&unsent)));
+            let mut recipients = self.targets(std::iter::empty());
+            recipients.extend(self.members.load().relays_elsewhere.iter().copied());
+            recipients.remove(&self.address);
+            for address in recipients {
                 self.network.send(address, &news);
             }
         }
@@ -41,10 +41,10 @@
     }
 
     /// Takes the digest of what a peer knows, and asks for it where it is another.
-    pub(super) fn hear_quarantine_digest(&self, envelope: &Envelope, digest: u64) {
+    pub(super) fn compare_quarantine_digest(&self, envelope: &Envelope, digest: u64) {
         if digest == 0
             || digest == self.quarantine_digest()
-            || !self.quarantine_questions.admit(QUESTION_PAUSE)
+            || !self.quarantine_request_throttle.admit(REQUEST_INTERVAL)
         {
             return;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Tells a peer all that is known here, as soon as the link has room for it: until then its next question comes.
-    pub(super) fn answer_quarantine(&self, envelope: &Envelope) {
+    pub(super) fn send_all_evidence(&self, envelope: &Envelope) {
         let whole = encode(&self.gateway.forwarder.quarantine.book.whole());
         if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
             self.reply(envelope, Body::QuarantineNews(whole));
@@ -60,9 +60,9 @@
     }
 
     /// Takes evidence from a peer; a relay passes on what comes from another zone.
-    pub(super) fn take_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
+    pub(super) fn handle_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
         let new = self.gateway.forwarder.quarantine.hear(decode(news));
-        if new.is_empty() || !self.is_large() || envelope.zone == self.zone.as_str() {
+        if new.is_empty() || !self.is_large_deployment() || envelope.zone == self.zone.as_str() {
             return;
         }
         let news = self.envelope(Body::QuarantineNews(encode(&new)));
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -30,15 +30,20 @@
 
 /// Evidence as heard; what names no request is passed over.
 pub fn decode(news: &QuarantineNews) -> Evidence {
-    let ending = |told: &ToldEnding| Ending {
-        backend: BackendId::new(&told.backend),
-        at_ms: told.at_ms,
-        open: told.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
+    let ending = |wire_entry: &ToldEnding| Ending {
+        backend: BackendId::new(&wire_entry.backend),
+        at_ms: wire_entry.at_ms,
+        open: wire_entry.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
     };
-    let completion =
-        |told: &ToldCompletion| Some(Completion { request: fingerprint(&told.request)?, at_ms: told.at_ms });
-    let trial = |told: &ToldTrial| {
-        Some(Trial { request: fingerprint(&told.request)?, number: told.number, at_ms: told.at_ms })
+    let completion = |wire_entry: &ToldCompletion| {
+        Some(Completion { request: fingerprint(&wire_entry.request)?, at_ms: wire_entry.at_ms })
+    };
+    let trial = |wire_entry: &ToldTrial| {
+        Some(Trial {
+            request: fingerprint(&wire_entry.request)?,
+            number: wire_entry.number,
+            at_ms: wire_entry.at_ms,
+        })
     };
     Evidence {
         endings: news.endings.iter().map(ending).collect(),
--- a/crates/beamwall-node/src/gateway/readiness.rs
+++ b/crates/beamwall-node/src/gateway/readiness.rs
@@ -11,10 +11,10 @@
 use hyper::{Request, Response, StatusCode};
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use crate::gateway::exchange::Exchange;
 use crate::gateway::gauges::GatewayGauges;
+use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::watches::{BACKENDS, POLICY};
+use crate::gateway::store_watch::{BACKENDS, POLICY};
 
 /// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
@@ -65,7 +65,7 @@
     /// What the gauges read.
     pub gateway: Arc<Gateway>,
     /// What the gauges read.
-    pub exchange: Arc<Exchange>,
+    pub exchange: Arc<PeerExchange>,
     /// Path of the balancer's question.
     pub readiness_path: &'static str,
 }
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -53,26 +53,26 @@
     })
 }
 
-fn encode_order(news: &OrderNews) -> ToldOrder {
+fn encode_order(rollout_update: &OrderNews) -> ToldOrder {
     ToldOrder {
-        id: encode_id(&news.order.id),
-        interval_ms: to_ms(news.order.interval),
-        revision: news.revision,
-        age_ms: to_ms(news.age),
-        verdict: encode_verdict(news.verdict),
-        is_withdrawn: news.is_withdrawn,
+        id: encode_id(&rollout_update.order.id),
+        interval_ms: to_ms(rollout_update.order.interval),
+        revision: rollout_update.revision,
+        age_ms: to_ms(rollout_update.age),
+        verdict: encode_verdict(rollout_update.verdict),
+        is_withdrawn: rollout_update.is_withdrawn,
     }
 }
 
-fn encode_stage(news: &StageNews) -> ToldStage {
+fn encode_stage(rollout_update: &StageNews) -> ToldStage {
     ToldStage {
-        id: encode_id(&news.order),
-        epoch: news.mark.0,
-        number: news.mark.1,
-        share: news.stage.share,
-        back_ends: news.stage.back_ends as u64,
-        takes_all_in_ms: news.stage.takes_all_in.map(to_ms),
-        age_ms: to_ms(news.age),
+        id: encode_id(&rollout_update.order),
+        epoch: rollout_update.mark.0,
+        number: rollout_update.mark.1,
+        share: rollout_update.stage.share,
+        back_ends: rollout_update.stage.back_ends as u64,
+        takes_all_in_ms: rollout_update.stage.takes_all_in.map(to_ms),
+        age_ms: to_ms(rollout_update.age),
     }
 }
 
@@ -115,16 +115,16 @@
 
 /// Orders as heard.
 pub fn decode_orders(news: &RolloutNews) -> Vec<OrderNews> {
-    let decode = |told: &ToldOrder| {
+    let decode = |wire_entry: &ToldOrder| {
         Some(OrderNews {
             order: RolloutOrder {
-                id: decode_id(told.id.as_ref())?,
-                interval: Duration::from_millis(told.interval_ms),
+                id: decode_id(wire_entry.id.as_ref())?,
+                interval: Duration::from_millis(wire_entry.interval_ms),
             },
-            revision: told.revision,
-            age: Duration::from_millis(told.age_ms),
-            verdict: decode_verdict(told.verdict),
-            is_withdrawn: told.is_withdrawn,
+            revision: wire_entry.revision,
+            age: Duration::from_millis(wire_entry.age_ms),
+            verdict: decode_verdict(wire_entry.verdict),
+            is_withdrawn: wire_entry.is_withdrawn,
         })
     };
     news.orders.iter().filter_map(decode).collect()
@@ -132,16 +132,16 @@
 
 /// Stages as heard.
 pub fn decode_stages(news: &RolloutNews) -> Vec<StageNews> {
-    let decode = |told: &ToldStage| {
+    let decode = |wire_entry: &ToldStage| {
         Some(StageNews {
-            order: decode_id(told.id.as_ref())?,
-            mark: (told.epoch, told.number),
+            order: decode_id(wire_entry.id.as_ref())?,
+            mark: (wire_entry.epoch, wire_entry.number),
             stage: Stage {
-                share: told.share.clamp(0.0, 1.0),
-                back_ends: usize::try_from(told.back_ends).unwrap_or(usize::MAX),
-                takes_all_in: told.takes_all_in_ms.map(Duration::from_millis),
+                share: wire_entry.share.clamp(0.0, 1.0),
+                back_ends: usize::try_from(wire_entry.back_ends).unwrap_or(usize::MAX),
+                takes_all_in: wire_entry.takes_all_in_ms.map(Duration::from_millis),
             },
-            age: Duration::from_millis(told.age_ms),
+            age: Duration::from_millis(wire_entry.age_ms),
         })
     };
     news.stages.iter().filter_map(decode).collect()
@@ -150,17 +150,18 @@
 /// What others counted. Builds that do not tell the old version's back ends apart tell their sums: these stand as those of one
 /// back end without a name.
 pub fn decode_evidence(news: &RolloutNews) -> Vec<(OrderId, Evidence)> {
-    let decode = |told: &ToldEvidence| {
+    let decode = |wire_entry: &ToldEvidence| {
         let (sums, of_new): (Vec<&ToldAnswers>, Vec<&ToldAnswers>) =
-            told.answers.iter().partition(|row| row.back_end.is_empty());
-        let of_old = if told.old_answers.is_empty() { sums } else { told.old_answers.iter().collect() };
+            wire_entry.answers.iter().partition(|row| row.back_end.is_empty());
+        let of_old =
+            if wire_entry.old_answers.is_empty() { sums } else { wire_entry.old_answers.iter().collect() };
         let evidence = Evidence {
-            requests: told.requests,
-            exposed: told.exposed,
+            requests: wire_entry.requests,
+            exposed: wire_entry.exposed,
             old: decode_counts(of_old),
             new: decode_counts(of_new),
         };
-        Some((decode_id(told.id.as_ref())?, evidence))
+        Some((decode_id(wire_entry.id.as_ref())?, evidence))
     };
     news.evidence.iter().filter_map(decode).collect()
 }
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -12,33 +12,33 @@
 use beamwall_peer::rollout_message::RolloutNews;
 use beamwall_rollout::{OrderNews, RolloutBook};
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::rollout_wire;
-use crate::gateway::watches::Followed;
+use crate::gateway::store_watch::WatchedResource;
 
 /// Longest wait of one watch call: orders are rare, and each call has its price.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// Time between two cheaper readings: orders are rare, and take longer than this.
-const REVIEW_PERIOD: Duration = Duration::from_secs(10);
+const VERIFY_PERIOD: Duration = Duration::from_secs(10);
 
 /// Time before a new version takes all requests from which nodes tell at each news what they counted.
-const TOLD_AT_ONCE: Duration = Duration::from_millis(500);
+const IMMEDIATE_REPORT_WINDOW: Duration = Duration::from_millis(500);
 
 /// The orders in the store.
-pub struct FollowedOrders {
+pub struct WatchedOrders {
     /// The store.
     pub store: Arc<dyn RolloutStore>,
     /// What is known of orders; its owner forwards requests by it.
-    pub exchange: Arc<Exchange>,
+    pub exchange: Arc<PeerExchange>,
 }
 
-impl Followed for FollowedOrders {
+impl WatchedResource for WatchedOrders {
     const SUBJECT: &'static str = "rollouts";
-    const GATHERING_TIME: Duration = Duration::ZERO;
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::ZERO;
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
+    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
         if let Some(revision) = reached {
             let (now_at, has_changed) = self.store.wait_for_orders(revision, WATCH_WAIT).await?;
             if !has_changed {
@@ -47,14 +47,14 @@
         }
         let listed = self.store.orders().await?;
         let revision = listed.revision;
-        self.take(listed);
+        self.apply_list(listed);
         Ok(revision)
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
         let listed = self.store.recent_orders().await?;
         let revision = listed.revision;
-        Ok(self.take(listed).then_some(revision))
+        Ok(self.apply_list(listed).then_some(revision))
     }
 
     fn entries(&self) -> usize {
@@ -62,94 +62,95 @@
     }
 }
 
-impl FollowedOrders {
+impl WatchedOrders {
     /// Takes the orders as listed; returns whether anything is new.
-    fn take(&self, listed: ListedOrders) -> bool {
+    fn apply_list(&self, listed: ListedOrders) -> bool {
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
         let book = self.exchange.rollouts();
         let mut has_changed = book.keep_only(&services, listed.revision);
         for order in listed.orders {
-            has_changed |= take_order(book, order);
+            has_changed |= apply_listed_order(book, order);
         }
         if has_changed {
-            self.exchange.news.notify_one();
+            self.exchange.heartbeat_trigger.notify_one();
         }
         has_changed
     }
 }
 
-fn take_order(book: &RolloutBook, listed: ListedOrder) -> bool {
-    let news = OrderNews {
+fn apply_listed_order(book: &RolloutBook, listed: ListedOrder) -> bool {
+    let order_update = OrderNews {
         order: listed.order,
         revision: listed.revision,
         age: Duration::ZERO,
         verdict: listed.verdict,
         is_withdrawn: false,
     };
-    hear_order(book, news)
+    merge_order_update(book, order_update)
 }
 
 /// Takes an order; what it says anew is logged.
-fn hear_order(book: &RolloutBook, news: OrderNews) -> bool {
+fn merge_order_update(book: &RolloutBook, order_update: OrderNews) -> bool {
     let event = RolloutOrdered {
-        service: news.order.id.service.to_string(),
-        target: news.order.id.target.to_string(),
-        interval_ms: news.order.interval.as_millis().to_string(),
-        verdict: format!("{:?}", news.verdict),
-        withdrawn: news.is_withdrawn.to_string(),
+        service: order_update.order.id.service.to_string(),
+        target: order_update.order.id.target.to_string(),
+        interval_ms: order_update.order.interval.as_millis().to_string(),
+        verdict: format!("{:?}", order_update.verdict),
+        withdrawn: order_update.is_withdrawn.to_string(),
     };
-    let is_new = book.hear_order(news, beamwall_clock::now());
+    let is_new = book.hear_order(order_update, beamwall_clock::now());
     if is_new {
         emit(&event);
     }
     is_new
 }
 
-impl Exchange {
+impl PeerExchange {
     /// The orders as this node knows them.
     pub fn rollouts(&self) -> &RolloutBook {
         &self.gateway.forwarder.rollouts
     }
 
     /// What this node knows of rollouts, with what it counted itself.
-    pub(super) fn rollouts_to_tell(&self) -> Option<RolloutNews> {
+    pub(super) fn node_rollout_news(&self) -> Option<RolloutNews> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.own_evidence())
     }
 
     /// The same for other zones, with what all nodes of this one counted.
-    pub(super) fn rollouts_of_zone(&self) -> Option<RolloutNews> {
+    pub(super) fn zone_rollout_news(&self) -> Option<RolloutNews> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.evidence_of_nodes())
     }
 
     /// Takes what a node tells of rollouts and counted itself.
-    pub(super) fn take_rollouts_of_node(&self, node: &NodeId, life: u64, news: &RolloutNews) {
-        self.take_rollouts(news);
-        self.rollouts().hear_node(node, life, &rollout_wire::decode_evidence(news));
+    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, news: &RolloutNews) {
+        self.apply_rollout_news(news);
+        self.rollouts().hear_node(node, generation, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes what a relay tells of rollouts and its zone counted.
-    pub(super) fn take_rollouts_of_zone(&self, zone: &ZoneName, news: &RolloutNews) {
-        self.take_rollouts(news);
+    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, news: &RolloutNews) {
+        self.apply_rollout_news(news);
         self.rollouts().hear_zone(zone, &rollout_wire::decode_evidence(news));
     }
 
     /// Takes orders and stages; news of an order goes on at once.
-    fn take_rollouts(&self, news: &RolloutNews) {
+    fn apply_rollout_news(&self, news: &RolloutNews) {
         let book = self.rollouts();
         let mut has_changed = false;
         for order in rollout_wire::decode_orders(news) {
-            has_changed |= hear_order(book, order);
+            has_changed |= merge_order_update(book, order);
         }
         for stage in rollout_wire::decode_stages(news) {
             let is_new = book.hear_stage(&stage, beamwall_clock::now());
             // While the new version takes all, what it does must be known at once.
-            has_changed |= is_new && stage.stage.takes_all_in.is_some_and(|left| left <= TOLD_AT_ONCE);
+            has_changed |=
+                is_new && stage.stage.takes_all_in.is_some_and(|left| left <= IMMEDIATE_REPORT_WINDOW);
         }
         if has_changed {
-            self.news.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/standstill.rs
+++ b/crates/beamwall-node/src/gateway/stall_monitor.rs
@@ -9,19 +9,19 @@
 use beamwall_events::internal_events::ProcessStoodStill;
 use prometheus::{Histogram, HistogramOpts, Registry};
 
-use crate::gateway::suspension::Suspensions;
+use crate::gateway::suspension_monitor::SuspensionMonitor;
 
 /// Lateness of the process's timers that is worth a line in the log.
-const TOLD_FROM: Duration = Duration::from_millis(250);
+const LOG_THRESHOLD: Duration = Duration::from_millis(250);
 /// Upper bounds of the buckets of lateness, in seconds.
 const LATENESS_BUCKETS: &[f64] = &[0.002, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0];
 
 /// How late the timers of this process are.
-pub struct Standstills {
+pub struct StallMonitor {
     lateness: Histogram,
 }
 
-impl Standstills {
+impl StallMonitor {
     /// Registers the histogram.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let options =
@@ -32,17 +32,17 @@
     }
 
     /// Watches this process and its machine until the task is ended.
-    pub async fn watch(self, mut suspensions: Suspensions) {
+    pub async fn watch(self, mut suspensions: SuspensionMonitor) {
         running::watch(move |late| {
             self.note(late);
-            suspensions.look();
+            suspensions.detect_suspension();
         })
         .await;
     }
 
     fn note(&self, late: Duration) {
         self.lateness.observe(late.as_secs_f64());
-        if late >= TOLD_FROM {
+        if late >= LOG_THRESHOLD {
             emit(&ProcessStoodStill { late_ms: late.as_millis().to_string() });
         }
     }
--- a/crates/beamwall-node/src/gateway/store_status.rs
+++ b/crates/beamwall-node/src/gateway/store_status.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// Failed calls in a row after which the store counts as lost: single watches may be cut.
-const FAILURES_TO_LOSE: u32 = 2;
+const LOST_AFTER_FAILURES: u32 = 2;
 
 /// What the calls about one subject came to.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 
 impl Subject {
     fn is_lost(&self) -> bool {
-        self.failures_in_a_row >= FAILURES_TO_LOSE
+        self.failures_in_a_row >= LOST_AFTER_FAILURES
     }
 }
 
@@ -52,10 +52,10 @@
     }
 
     /// Notes an answer to a call about `what`.
-    pub fn note_answer(&self, what: &str) {
-        self.calls.with_label_values(&[what, "answered"]).inc();
+    pub fn note_answer(&self, subject_name: &str) {
+        self.calls.with_label_values(&[subject_name, "answered"]).inc();
         let mut subjects = self.lock();
-        let subject = subjects.entry(what.to_owned()).or_default();
+        let subject = subjects.entry(subject_name.to_owned()).or_default();
         let was_lost = subject.is_lost();
         subject.has_answered = true;
         subject.failures_in_a_row = 0;
@@ -63,27 +63,27 @@
         if let Some(since) = failing_since.filter(|_| was_lost) {
             subject.regained = Some(Instant::now());
             let away_ms = since.elapsed().as_millis().to_string();
-            emit(&ControlStoreRegained { what: what.to_owned(), away_ms });
+            emit(&ControlStoreRegained { what: subject_name.to_owned(), away_ms });
         }
     }
 
     /// Notes a call about `what` that failed.
-    pub fn note_failure(&self, what: &str, reason: &str) {
-        self.calls.with_label_values(&[what, "failed"]).inc();
+    pub fn note_failure(&self, subject_name: &str, reason: &str) {
+        self.calls.with_label_values(&[subject_name, "failed"]).inc();
         self.has_failed.store(true, Ordering::Relaxed);
         let mut subjects = self.lock();
-        let subject = subjects.entry(what.to_owned()).or_default();
+        let subject = subjects.entry(subject_name.to_owned()).or_default();
         subject.failures_in_a_row += 1;
         subject.failing_since.get_or_insert_with(Instant::now);
-        if subject.failures_in_a_row == FAILURES_TO_LOSE {
-            emit(&ControlStoreLost { what: what.to_owned(), reason: reason.to_owned() });
+        if subject.failures_in_a_row == LOST_AFTER_FAILURES {
+            emit(&ControlStoreLost { what: subject_name.to_owned(), reason: reason.to_owned() });
         }
     }
 
     /// Whether the store is lost to this node, or was `ago` at most.
-    pub fn was_away(&self, what: &str, ago: Duration) -> bool {
+    pub fn was_unavailable(&self, subject_name: &str, ago: Duration) -> bool {
         let subjects = self.lock();
-        let Some(subject) = subjects.get(what) else { return false };
+        let Some(subject) = subjects.get(subject_name) else { return false };
         subject.is_lost() || subject.regained.is_some_and(|at| at.elapsed() <= ago)
     }
 
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/store_watch.rs
@@ -25,8 +25,8 @@
 
 use crate::actors::directory::{ApplyChanges, DirectoryActor, ReadingTaken, TakeReading};
 use crate::actors::policy::{OfferPolicy, PolicyActor};
-use crate::gateway::chooser::ZoneChooser;
-use crate::gateway::listing::{Listed, Listing, Purpose};
+use crate::gateway::directory_reader::{DirectoryReader, ListRead, ReadPurpose};
+use crate::gateway::node_selector::NodeSelector;
 use crate::gateway::store_status::StoreStatus;
 
 /// Longest wait of one watch call.
@@ -38,15 +38,15 @@
 /// Longest pause.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 /// Time between two cheaper readings of a subject, by one node for all.
-const REVIEW_PERIOD: Duration = Duration::from_secs(5);
+const VERIFY_PERIOD: Duration = Duration::from_secs(5);
 /// Further time for each entry that such a reading brings: a long list takes the link of the node that reads it.
-const REVIEW_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
+const VERIFY_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
 /// Time between two looks at whether the list of back ends is doubted.
-const DOUBT_PERIOD: Duration = Duration::from_millis(250);
+const STALE_CHECK_PERIOD: Duration = Duration::from_millis(250);
 /// Longest wait, for each node known, of those that don't watch for their zone: those that do read first and tell the others.
-const LEFT_TO_WATCHERS_PER_NODE: Duration = Duration::from_millis(20);
+const NON_WATCHER_DELAY_PER_NODE: Duration = Duration::from_millis(20);
 /// The shortest wait of those that don't watch.
-const LEFT_TO_WATCHERS: Duration = Duration::from_secs(2);
+const NON_WATCHER_DELAY: Duration = Duration::from_secs(2);
 /// The source named in logs.
 const SOURCE: &str = "store";
 /// The policy as a subject of the store.
@@ -73,45 +73,52 @@
 }
 
 /// Something in the store that is followed: read whole once, then watched, and held against a cheaper reading now and then.
-pub trait Followed: Send + Sync + 'static {
+pub trait WatchedResource: Send + Sync + 'static {
     /// Its name in logs, and by which its watchers are chosen.
     const SUBJECT: &'static str;
     /// Pause after a change, so that those that follow at once come in one answer.
-    const GATHERING_TIME: Duration;
+    const BATCH_DELAY: Duration;
     /// Time between two cheaper readings.
-    const REVIEW_PERIOD: Duration;
+    const VERIFY_PERIOD: Duration;
 
     /// Reads it whole, or watches on from the revision reached; gives the revision reached then.
-    fn step(&self, reached: Option<u64>) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
+    fn read_or_watch(
+        &self,
+        reached: Option<u64>,
+    ) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
 
     /// Takes what a cheaper reading brings that was not told; gives its revision, or `None` where there is nothing new.
-    fn review(&self) -> impl Future<Output = Result<Option<u64>, ControlStoreError>> + Send;
+    fn verify(&self) -> impl Future<Output = Result<Option<u64>, ControlStoreError>> + Send;
 
     /// Entries that such a reading brings.
     fn entries(&self) -> usize;
 
     /// Returns as soon as what is known should be read whole again.
-    fn doubted(&self) -> impl Future<Output = ()> + Send {
+    fn suspected_stale(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
 
 /// Follows a subject until the task is ended. After the first reading only the nodes chosen watch on.
-pub async fn follow<F: Followed>(followed: Arc<F>, status: Arc<StoreStatus>, chooser: ZoneChooser) {
+pub async fn watch_resource<F: WatchedResource>(
+    resource: Arc<F>,
+    status: Arc<StoreStatus>,
+    selector: NodeSelector,
+) {
     let mut backoff = Backoff::new();
     let mut reached: Option<u64> = None;
-    let mut doubted = pin!(followed.doubted());
+    let mut suspected_stale = pin!(resource.suspected_stale());
     loop {
-        let watched = async {
+        let step_future = async {
             if reached.is_some() {
-                chooser.wait_chosen(F::SUBJECT, WATCHERS_PER_ZONE).await;
+                selector.wait_until_selected(F::SUBJECT, WATCHERS_PER_ZONE).await;
             }
-            followed.step(reached).await
+            resource.read_or_watch(reached).await
         };
         let answer = tokio::select! {
-            answer = watched => answer,
-            () = &mut doubted, if reached.is_some() => {
-                doubted.set(followed.doubted());
+            answer = step_future => answer,
+            () = &mut suspected_stale, if reached.is_some() => {
+                suspected_stale.set(resource.suspected_stale());
                 reached = None;
                 continue;
             }
@@ -121,7 +128,7 @@
                 status.note_answer(F::SUBJECT);
                 backoff.reset();
                 if reached.is_some_and(|before| before < revision) {
-                    tokio::time::sleep(F::GATHERING_TIME).await;
+                    tokio::time::sleep(F::BATCH_DELAY).await;
                 }
                 reached = Some(revision);
             }
@@ -135,23 +142,23 @@
 }
 
 /// Holds a subject against cheaper readings until the task is ended, while this node is chosen to.
-pub async fn review<F: Followed>(followed: Arc<F>, chooser: ZoneChooser) {
+pub async fn verify_resource<F: WatchedResource>(resource: Arc<F>, selector: NodeSelector) {
     loop {
-        let entries = u32::try_from(followed.entries()).unwrap_or(u32::MAX);
-        let period = F::REVIEW_PERIOD + REVIEW_PERIOD_PER_ENTRY * entries;
+        let entries = u32::try_from(resource.entries()).unwrap_or(u32::MAX);
+        let period = F::VERIFY_PERIOD + VERIFY_PERIOD_PER_ENTRY * entries;
         tokio::time::sleep(period).await;
-        if !chooser.is_chosen_of_all(F::SUBJECT) {
+        if !selector.is_selected_globally(F::SUBJECT) {
             continue;
         }
         // Where the store is away, the watch over the same subject tells of it.
-        if let Ok(Some(revision)) = followed.review().await {
+        if let Ok(Some(revision)) = resource.verify().await {
             emit(&WatchMissedChange { what: F::SUBJECT.to_owned(), revision: revision.to_string() });
         }
     }
 }
 
 /// The policy in the store.
-pub struct FollowedPolicy {
+pub struct WatchedPolicy {
     /// The store.
     pub store: Arc<dyn ControlStore>,
     /// Takes newer policies.
@@ -160,12 +167,12 @@
     pub gateway: Arc<Gateway>,
 }
 
-impl Followed for FollowedPolicy {
+impl WatchedResource for WatchedPolicy {
     const SUBJECT: &'static str = POLICY;
-    const GATHERING_TIME: Duration = Duration::ZERO;
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::ZERO;
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
+    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
         let PolicyAnswer { revision, policy } = match reached {
             None => self.store.policy().await?,
             Some(revision) => self.store.watch_policy(revision, WATCH_WAIT).await?,
@@ -174,7 +181,7 @@
         Ok(revision)
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
         let PolicyAnswer { revision, policy } = self.store.recent_policy().await?;
         let is_new = self.offer(policy).await;
         Ok(is_new.then_some(revision))
@@ -187,7 +194,7 @@
     }
 }
 
-impl FollowedPolicy {
+impl WatchedPolicy {
     /// Offers what was read; returns whether it is newer than what was in force.
     async fn offer(&self, policy: Option<TrafficPolicy>) -> bool {
         let Some(policy) = policy else { return false };
@@ -198,61 +205,61 @@
 }
 
 /// The back ends in the store.
-pub struct FollowedBackends {
+pub struct WatchedBackends {
     /// The store.
     pub store: Arc<dyn ControlStore>,
     /// Reads the whole list.
-    pub listing: Listing,
+    pub reader: DirectoryReader,
     /// Takes lists and changes.
-    pub directory: ActorRef<DirectoryActor>,
+    pub directory_updates: ActorRef<DirectoryActor>,
     /// Knows what speaks against the list.
     pub gateway: Arc<Gateway>,
 }
 
-impl Followed for FollowedBackends {
+impl WatchedResource for WatchedBackends {
     const SUBJECT: &'static str = BACKENDS;
-    const GATHERING_TIME: Duration = Duration::from_millis(60);
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::from_millis(60);
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
+    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
         match reached {
-            None => self.read_whole().await,
+            None => self.read_whole_list().await,
             Some(base) => {
                 let watched = self.store.watch_backends(base, WATCH_WAIT).await?;
-                self.listing.unreadable.note(&watched.unreadable);
+                self.reader.unreadable.note(&watched.unreadable);
                 let changes = watched.changes;
                 let revision = changes.revision;
                 let source = SOURCE.to_owned();
-                let _ = self.directory.ask(ApplyChanges { base, changes, source }).await;
+                let _ = self.directory_updates.ask(ApplyChanges { base, changes, source }).await;
                 Ok(revision)
             }
         }
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
-        let read = self.listing.recent_digest().await?;
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
+        let read = self.reader.recent_digest().await?;
         // It may be older than what is held, so it is no proof: the newest is read before anything is taken.
-        if read != self.listing.known.load().digest() {
+        if read != self.reader.current.load().digest() {
             self.doubts().note_store_differs();
         }
         Ok(None)
     }
 
     fn entries(&self) -> usize {
-        self.listing.known.load().backends().count()
+        self.reader.current.load().backends().count()
     }
 
-    async fn doubted(&self) {
+    async fn suspected_stale(&self) {
         loop {
-            tokio::time::sleep(DOUBT_PERIOD).await;
+            tokio::time::sleep(STALE_CHECK_PERIOD).await;
             if self.doubt().is_none() {
                 continue;
             }
-            if !self.watches() {
-                tokio::time::sleep(self.left_to_watchers()).await;
+            if !self.is_watcher() {
+                tokio::time::sleep(self.non_watcher_delay()).await;
             }
             if let Some(doubt) = self.doubt() {
-                let revision = self.listing.known.load().revision().to_string();
+                let revision = self.reader.current.load().revision().to_string();
                 emit(&DirectoryDoubted { reason: describe(&doubt), revision });
                 return;
             }
@@ -260,36 +267,36 @@
     }
 }
 
-impl FollowedBackends {
+impl WatchedBackends {
     fn doubts(&self) -> &ListDoubts {
         &self.gateway.forwarder.knowledge.doubts
     }
 
-    fn watches(&self) -> bool {
-        self.listing.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE)
+    fn is_watcher(&self) -> bool {
+        self.reader.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE)
     }
 
     fn doubt(&self) -> Option<Doubt> {
-        self.doubts().reason(&self.listing.known.load(), self.watches(), Instant::now())
+        self.doubts().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
     }
 
     /// Time for which a node that does not watch for its zone leaves a reading to those that do.
-    fn left_to_watchers(&self) -> Duration {
-        let nodes = u32::try_from(self.listing.chooser.nodes_known()).unwrap_or(u32::MAX);
-        LEFT_TO_WATCHERS + (LEFT_TO_WATCHERS_PER_NODE * nodes).mul_f64(rand::rng().random())
+    fn non_watcher_delay(&self) -> Duration {
+        let nodes = u32::try_from(self.reader.selector.other_nodes_known()).unwrap_or(u32::MAX);
+        NON_WATCHER_DELAY + (NON_WATCHER_DELAY_PER_NODE * nodes).mul_f64(rand::rng().random())
     }
 
     /// Reads the whole list: for the first time, where it can't be followed on, or because it is doubted.
-    async fn read_whole(&self) -> Result<u64, ControlStoreError> {
-        let held = self.listing.known.load().revision();
-        let purpose = if held == 0 { Purpose::Anew } else { Purpose::Review };
-        let read = match self.listing.read(purpose).await? {
-            Listed::ToldByPeer(revision) => return Ok(revision),
-            Listed::Whole(read) => read,
+    async fn read_whole_list(&self) -> Result<u64, ControlStoreError> {
+        let held = self.reader.current.load().revision();
+        let purpose = if held == 0 { ReadPurpose::Initial } else { ReadPurpose::Reread };
+        let read = match self.reader.read(purpose).await? {
+            ListRead::FromPeer(revision) => return Ok(revision),
+            ListRead::Whole(read) => read,
         };
         let revision = read.revision;
-        let correction = self.take(read).await;
-        if purpose == Purpose::Review {
+        let correction = self.apply_list(read).await;
+        if purpose == ReadPurpose::Reread {
             self.doubts().note_read(correction == Correction::Changed, Instant::now());
             let outcome = format!("{correction:?}");
             emit(&DirectoryReviewed { outcome, held: held.to_string(), read: revision.to_string() });
@@ -297,10 +304,10 @@
         Ok(revision)
     }
 
-    async fn take(&self, snapshot: DirectorySnapshot) -> Correction {
+    async fn apply_list(&self, snapshot: DirectorySnapshot) -> Correction {
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
         // The actor ends only with the node.
-        let taken = self.directory.ask(reading).await;
+        let taken = self.directory_updates.ask(reading).await;
         taken.map_or(Correction::Outdated, |ReadingTaken(correction)| correction)
     }
 }
--- a/crates/beamwall-node/src/gateway/kept_models.rs
+++ b/crates/beamwall-node/src/gateway/stored_models.rs
@@ -14,45 +14,45 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use crate::gateway::kept_objects::read_at_start;
+use crate::gateway::stored_objects::read_at_start;
 
 /// The object.
 const KEY: &str = "reports/engine-models";
 /// Time between two writes: engines seldom change, and each call to the store has its price.
-const KEEP_PERIOD: Duration = Duration::from_secs(10);
+const WRITE_PERIOD: Duration = Duration::from_secs(10);
 /// Samples as which what is recalled counts: as many as tell an engine's speed, so that what is observed from then on
 /// soon outweighs it.
-const RECALLED_SAMPLES: f64 = 200.0;
+const RESTORED_SAMPLES: f64 = 200.0;
 
 /// The sums of each service, as [`ServiceStatistics::to_numbers`] lists them.
-type KeptModels = BTreeMap<String, Vec<f64>>;
+type StoredModels = BTreeMap<String, Vec<f64>>;
 
 /// Keeps what was observed; run by the node that holds the lease on duties.
-pub(super) struct ModelKeeper {
+pub(super) struct ModelStorage {
     gateway: Arc<Gateway>,
     objects: Arc<dyn VersionedObjects>,
     /// Version of the object, once it was read or written.
     version: Option<Version>,
-    tried: Instant,
+    last_attempt: Instant,
 }
 
-impl ModelKeeper {
+impl ModelStorage {
     /// A keeper that first writes a period from now.
     pub(super) fn new(gateway: Arc<Gateway>, objects: Arc<dyn VersionedObjects>) -> Self {
-        Self { gateway, objects, version: None, tried: Instant::now() }
+        Self { gateway, objects, version: None, last_attempt: Instant::now() }
     }
 
     /// Writes what is known when a period has passed. A failure is said and tried again a period later.
-    pub(super) async fn keep_due(&mut self) {
-        if self.tried.elapsed() < KEEP_PERIOD {
+    pub(super) async fn write_if_due(&mut self) {
+        if self.last_attempt.elapsed() < WRITE_PERIOD {
             return;
         }
-        self.tried = Instant::now();
-        let kept = self.known();
-        if kept.is_empty() {
+        self.last_attempt = Instant::now();
+        let stored = self.known_models();
+        if stored.is_empty() {
             return;
         }
-        match self.write(&kept).await {
+        match self.write(&stored).await {
             Ok(version) => self.version = Some(version),
             Err(error) => {
                 self.version = None;
@@ -61,42 +61,42 @@
         }
     }
 
-    fn known(&self) -> KeptModels {
+    fn known_models(&self) -> StoredModels {
         let models = &self.gateway.forwarder.knowledge.models;
         let observed = models.sum_of(|_| true).into_iter();
         let known = observed.filter(|(service, _)| models.estimates(service).is_known());
         known.map(|(service, sums)| (service.to_string(), sums.to_numbers())).collect()
     }
 
-    async fn write(&self, kept: &KeptModels) -> Result<Version, ObjectError> {
+    async fn write(&self, stored: &StoredModels) -> Result<Version, ObjectError> {
         let version = match self.version {
             Some(version) => version,
             None => self.objects.get(KEY).await?.map_or(ABSENT, |object| object.version),
         };
-        let value = serde_json::to_vec(kept).map_err(|error| ObjectError::Unexpected(error.to_string()))?;
+        let value = serde_json::to_vec(stored).map_err(|error| ObjectError::Unexpected(error.to_string()))?;
         self.objects.put(KEY, version, Bytes::from(value)).await
     }
 }
 
 /// Reads what was kept, at a start. Without it the node learns anew.
-pub(super) async fn recall(gateway: Arc<Gateway>, objects: Arc<dyn VersionedObjects>) {
-    let tell = |reason| emit(&EngineModelsNotKept { reason });
-    if let Some(object) = read_at_start(objects.as_ref(), KEY, tell).await {
-        take(&gateway, &object);
+pub(super) async fn restore(gateway: Arc<Gateway>, objects: Arc<dyn VersionedObjects>) {
+    let on_error = |reason| emit(&EngineModelsNotKept { reason });
+    if let Some(object) = read_at_start(objects.as_ref(), KEY, on_error).await {
+        apply_stored_models(&gateway, &object);
     }
 }
 
-fn take(gateway: &Gateway, object: &Object) {
-    let kept: KeptModels = match serde_json::from_slice(&object.value) {
-        Ok(kept) => kept,
+fn apply_stored_models(gateway: &Gateway, object: &Object) {
+    let stored: StoredModels = match serde_json::from_slice(&object.value) {
+        Ok(stored) => stored,
         Err(error) => return emit(&EngineModelsNotKept { reason: error.to_string() }),
     };
     let read = |(service, numbers): (&String, &Vec<f64>)| {
         let sums = ServiceStatistics::from_numbers(numbers)?;
-        Some((ServiceName::new(service), sums.limited_to(RECALLED_SAMPLES)))
+        Some((ServiceName::new(service), sums.limited_to(RESTORED_SAMPLES)))
     };
-    let recalled = kept.iter().filter_map(read).collect();
-    gateway.forwarder.knowledge.models.set_peer(&Reporter::Store, recalled);
-    let services: Vec<&str> = kept.keys().map(String::as_str).collect();
+    let restored = stored.iter().filter_map(read).collect();
+    gateway.forwarder.knowledge.models.set_peer(&Reporter::Store, restored);
+    let services: Vec<&str> = stored.keys().map(String::as_str).collect();
     emit(&EngineModelsRecalled { services: services.join(","), version: object.version.to_string() });
 }
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension_monitor.rs
@@ -11,28 +11,28 @@
 use tokio::sync::Notify;
 
 /// A shorter suspension is within what terms allow anyway.
-const SHORTEST: Duration = Duration::from_millis(250);
+const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
 /// What was known of suspensions at the last look.
-pub struct Suspensions {
-    before: Duration,
-    news: Arc<Notify>,
+pub struct SuspensionMonitor {
+    asleep_before: Duration,
+    heartbeat_trigger: Arc<Notify>,
 }
 
-impl Suspensions {
+impl SuspensionMonitor {
     /// Knows the suspensions until now; `news` is told after each further one.
-    pub fn new(news: Arc<Notify>) -> Self {
-        Self { before: beamwall_clock::asleep(), news }
+    pub fn new(heartbeat_trigger: Arc<Notify>) -> Self {
+        Self { asleep_before: beamwall_clock::asleep(), heartbeat_trigger }
     }
 
     /// Looks whether the machine was suspended since the last look.
-    pub fn look(&mut self) {
+    pub fn detect_suspension(&mut self) {
         let asleep = beamwall_clock::asleep();
-        let length = asleep.saturating_sub(self.before);
-        self.before = asleep;
-        if length >= SHORTEST {
+        let length = asleep.saturating_sub(self.asleep_before);
+        self.asleep_before = asleep;
+        if length >= MIN_SUSPENSION {
             emit(&MachineSuspended { asleep_ms: length.as_millis().to_string() });
-            self.news.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/unreadable_entries.rs
+++ b/crates/beamwall-node/src/gateway/unreadable_entries.rs
@@ -9,13 +9,13 @@
 use prometheus::{IntCounter, Registry};
 
 /// Entries that are remembered as told; with more, all are forgotten, and those that stay are told once more.
-const REMEMBERED: usize = 1_024;
+const MAX_REMEMBERED: usize = 1_024;
 
 /// The entries that could not be read.
 #[derive(Debug)]
 pub struct UnreadableEntries {
     read: IntCounter,
-    told: Mutex<HashSet<String>>,
+    logged: Mutex<HashSet<String>>,
 }
 
 impl UnreadableEntries {
@@ -24,18 +24,18 @@
         let name = "beamwall_gateway_unreadable_entries_total";
         let read = IntCounter::new(name, "entries of the list of back ends read that name no back end")?;
         registry.register(Box::new(read.clone()))?;
-        Ok(Self { read, told: Mutex::default() })
+        Ok(Self { read, logged: Mutex::default() })
     }
 
     /// Notes entries that were passed over.
     pub fn note(&self, entries: &[UnreadableEntry]) {
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in entries {
             self.read.inc();
-            if told.len() >= REMEMBERED {
-                told.clear();
+            if logged.len() >= MAX_REMEMBERED {
+                logged.clear();
             }
-            if told.insert(entry.name.clone()) {
+            if logged.insert(entry.name.clone()) {
                 emit(&EntryUnreadable { entry: entry.name.clone(), reason: entry.reason.clone() });
             }
         }
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/usage_recovery.rs
@@ -9,42 +9,42 @@
 use beamwall_peer::gateway_message::{LifeUsage, UsageKnown, UsageRequest};
 use beamwall_peer::{Body, Envelope, MemberState};
 
-use crate::gateway::beat;
-use crate::gateway::exchange::{ANSWER_LIMIT, Exchange, TOLD_WINDOWS};
+use crate::gateway::heartbeat_wire;
+use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, REPORTED_WINDOWS};
 
 /// Time after the start until the members are known and have told their own usage.
-const INTRODUCTION_TIME: Duration = Duration::from_millis(600);
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(600);
 /// Times that somebody is asked.
-const ROUNDS: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
-impl Exchange {
+impl PeerExchange {
     /// Tells a node that has started what is known of others' usage. One of another zone gets no answer in a large
     /// deployment: there these counts come with this zone's sums, and would count twice.
     pub(super) fn answer_usage(&self, question: &Envelope) {
-        if self.is_close(question) {
-            self.reply(question, Body::UsageKnown(self.known_usage()));
+        if self.is_direct_peer(question) {
+            self.reply(question, Body::UsageKnown(self.recorded_usage()));
         }
     }
 
-    fn known_usage(&self) -> UsageKnown {
-        let life = |(node, life, usage): (NodeId, u64, Vec<_>)| LifeUsage {
+    fn recorded_usage(&self) -> UsageKnown {
+        let encode_life = |(node, life, usage): (NodeId, u64, Vec<_>)| LifeUsage {
             node: node.to_string(),
             life,
-            usage: beat::encode_usage(usage),
+            usage: heartbeat_wire::encode_usage(usage),
         };
-        let lives = self.gateway.forwarder.usage.lives(TOLD_WINDOWS);
-        UsageKnown { lives: lives.into_iter().map(life).collect() }
+        let lives = self.gateway.forwarder.usage.lives(REPORTED_WINDOWS);
+        UsageKnown { lives: lives.into_iter().map(encode_life).collect() }
     }
 
     /// Asks the member that has lived longest for what it knows, until one answers.
-    pub(super) async fn learn_usage(self: Arc<Self>) {
-        for _ in 0..ROUNDS {
-            tokio::time::sleep(INTRODUCTION_TIME).await;
-            let Some(address) = self.longest_lived() else { continue };
+    pub(super) async fn recover_usage(self: Arc<Self>) {
+        for _ in 0..MAX_ATTEMPTS {
+            tokio::time::sleep(MEMBERSHIP_SETTLE_TIME).await;
+            let Some(address) = self.longest_running_peer() else { continue };
             let question = self.envelope(Body::UsageRequest(UsageRequest {}));
-            let answer = self.network.ask(address, question, ANSWER_LIMIT).await;
+            let answer = self.network.ask(address, question, ANSWER_TIMEOUT).await;
             if let Ok(Some(Body::UsageKnown(known))) = answer.map(|envelope| envelope.body) {
-                self.take_known_usage(known);
+                self.merge_recovered_usage(known);
                 return;
             }
         }
@@ -52,21 +52,20 @@
 
     /// Of the members that tell this node their own usage, the one of the longest life. Incarnations begin with the time
     /// of the start.
-    fn longest_lived(&self) -> Option<SocketAddr> {
+    fn longest_running_peer(&self) -> Option<SocketAddr> {
         let view = self.members.load();
-        let is_large = self.is_large();
-        let close = view
-            .members
-            .iter()
-            .filter(|member| member.state == MemberState::Alive && (!is_large || member.zone == self.zone));
+        let is_large_deployment = self.is_large_deployment();
+        let close = view.members.iter().filter(|member| {
+            member.state == MemberState::Alive && (!is_large_deployment || member.zone == self.zone)
+        });
         close.min_by_key(|member| member.incarnation).map(|member| member.address)
     }
 
-    fn take_known_usage(&self, known: UsageKnown) {
+    fn merge_recovered_usage(&self, known: UsageKnown) {
         let usage = &self.gateway.forwarder.usage;
         // What was counted here before this life is what others know of it.
-        for life in known.lives.into_iter().filter(|life| life.life != self.life) {
-            usage.merge(&NodeId::new(&life.node), life.life, beat::decode_usage(life.usage));
+        for entry in known.lives.into_iter().filter(|entry| entry.life != self.generation) {
+            usage.merge(&NodeId::new(&entry.node), entry.life, heartbeat_wire::decode_usage(entry.usage));
         }
     }
 }
