--- a/crates/beamwall-node/src/actors/directory.rs
+++ b/crates/beamwall-node/src/actors/directory.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::watches::BACKENDS;
+use crate::gateway::store_watch::BACKENDS;
 
 /// Time for which lapsed back ends are used. Those that live are listed again about two seconds after the
 /// store's return; those that don't must not get requests for longer.
@@ -43,7 +43,11 @@
 
     /// What it means that a back end is not listed any more.
     fn vanishing(&self) -> Vanishing {
-        if self.status.was_away(BACKENDS, LAPSED_FOR) { Vanishing::MayHaveLapsed } else { Vanishing::Gone }
+        if self.status.was_unavailable(BACKENDS, LAPSED_FOR) {
+            Vanishing::MayHaveLapsed
+        } else {
+            Vanishing::Gone
+        }
     }
 
     /// Publishes a newer list. Where entries have lapsed by it, they are dropped after a while.
--- a/crates/beamwall-node/src/node.rs
+++ b/crates/beamwall-node/src/node.rs
@@ -31,7 +31,7 @@
 use crate::actors::tree::TreeActor;
 use crate::callers::CallerHandler;
 use crate::error::NodeError;
-use crate::gateway::kept_quarantine::KeptQuarantine;
+use crate::gateway::stored_quarantine::StoredQuarantine;
 use crate::metrics::NodeMetrics;
 use crate::operators::OperatorHandler;
 use crate::shared::{Shared, bootstrap_operators};
@@ -180,7 +180,7 @@
 
 fn assemble_quarantine(pool: &Pool, store: &ObjectStore, view: Arc<ArcSwap<FleetView>>) -> NodeQuarantine {
     let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
-    let kept = Arc::new(KeptQuarantine::new(Arc::new(store.clone()), book.clone(), clock.clone()));
+    let kept = Arc::new(StoredQuarantine::new(Arc::new(store.clone()), book.clone(), clock.clone()));
     let listed = Arc::new(ListedInView(view));
     let quarantine = Arc::new(Quarantine::new(book, pool.clone(), listed, clock, kept.clone()));
     NodeQuarantine { quarantine, kept }
--- a/crates/beamwall-node/src/tasks/quarantine.rs
+++ b/crates/beamwall-node/src/tasks/quarantine.rs
@@ -13,8 +13,8 @@
 use beamwall_quarantine::{Admission, Evidence, Fingerprint, HeldRequest};
 use beamwall_request::RequestGuard;
 
-use crate::gateway::kept_quarantine::KeptQuarantine;
 use crate::gateway::quarantine_wire;
+use crate::gateway::stored_quarantine::StoredQuarantine;
 use crate::shared::Shared;
 
 /// Time between two looks at what is old, and at what the store does not know yet.
@@ -26,7 +26,7 @@
     /// What is known, and what is done about it.
     pub quarantine: Arc<Quarantine>,
     /// What the store keeps of it.
-    pub kept: Arc<KeptQuarantine>,
+    pub kept: Arc<StoredQuarantine>,
 }
 
 /// The back ends as the fleet is seen now.
@@ -104,12 +104,12 @@
 
 /// Reads at the start what the store keeps; then forgets what is old, and has one node keep what is new, until the node stops.
 pub async fn upkeep(shared: Arc<Shared>) {
-    shared.quarantine.kept.recall().await;
+    shared.quarantine.kept.restore().await;
     loop {
         tokio::time::sleep(UPKEEP_PERIOD).await;
         shared.quarantine.quarantine.forget_old();
         if shared.is_chosen(b"held-requests", 1) {
-            shared.quarantine.kept.keep_due().await;
+            shared.quarantine.kept.write_if_due().await;
         }
     }
 }
--- a/crates/beamwall-node/tests/directory_wire.rs
+++ b/crates/beamwall-node/tests/directory_wire.rs
@@ -3,7 +3,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use beamwall_gateway::Backend;
 use beamwall_gateway::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
-use beamwall_node::gateway::directory_wire::{DirectoryWireError, ToldDirectory, decode, encode};
+use beamwall_node::gateway::directory_wire::{DirectoryUpdate, DirectoryWireError, decode, encode};
 use beamwall_seeds::on_seeds;
 use prost::Message;
 
@@ -27,17 +27,17 @@
     })
 }
 
-fn draw(random: &mut Unstructured<'_>) -> Result<ToldDirectory> {
+fn draw(random: &mut Unstructured<'_>) -> Result<DirectoryUpdate> {
     let revision = random.arbitrary()?;
     let length = random.int_in_range(0..=20)?;
     let backends = (0..length).map(|_| draw_backend(random)).collect::<Result<Vec<_>>>()?;
     if random.arbitrary()? {
-        return Ok(ToldDirectory::Whole(DirectorySnapshot { revision, backends }));
+        return Ok(DirectoryUpdate::Whole(DirectorySnapshot { revision, backends }));
     }
     let gone = DirectoryChange::Gone("i-gone".into());
     let changed = backends.into_iter().map(DirectoryChange::Changed);
     let changes = std::iter::once(gone).chain(changed).collect();
-    Ok(ToldDirectory::Changes(DirectoryChanges { revision, changes }))
+    Ok(DirectoryUpdate::Changes(DirectoryChanges { revision, changes }))
 }
 
 #[test]
@@ -64,14 +64,14 @@
 fn a_large_list_and_a_single_change_are_short() {
     let whole = encode(&list(3_000)).encoded_len();
     assert!(whole < LARGE_LIST_BYTES, "{whole} bytes");
-    let ToldDirectory::Whole(snapshot) = list(1) else { unreachable!("a whole list") };
+    let DirectoryUpdate::Whole(snapshot) = list(1) else { unreachable!("a whole list") };
     let changes = vec![DirectoryChange::Changed(snapshot.backends[0].clone())];
-    let change = encode(&ToldDirectory::Changes(DirectoryChanges { revision: 900, changes })).encoded_len();
+    let change = encode(&DirectoryUpdate::Changes(DirectoryChanges { revision: 900, changes })).encoded_len();
     println!("{whole} bytes for 3,000 back ends, {change} for a change");
     assert!(change < 100, "{change} bytes");
 }
 
-fn list(length: u16) -> ToldDirectory {
+fn list(length: u16) -> DirectoryUpdate {
     let backend = |number: u16| Backend {
         id: format!("i-{number}").as_str().into(),
         instance: format!("i-{number}").as_str().into(),
@@ -85,5 +85,5 @@
         reclaimable: true,
     };
     let backends = (0..length).map(backend).collect();
-    ToldDirectory::Whole(DirectorySnapshot { revision: 900, backends })
+    DirectoryUpdate::Whole(DirectorySnapshot { revision: 900, backends })
 }
--- a/crates/beamwall-node/tests/earlier_builds.rs
+++ b/crates/beamwall-node/tests/earlier_builds.rs
@@ -12,7 +12,7 @@
 use beamwall_gateway::Backend;
 use beamwall_gateway::ports::DirectorySnapshot;
 use beamwall_model::{BackendId, EngineVersion, InstanceName, ServiceName, ZoneName};
-use beamwall_node::gateway::directory_wire::{self, ToldDirectory};
+use beamwall_node::gateway::directory_wire::{self, DirectoryUpdate};
 use beamwall_peer::gateway_message::{
     BackendLoad, BackendSlowness, DirectoryAnswer, DirectoryRequest, GatewayBeat, LifeUsage, PlacementPart,
     PlacementReply, PlacementRequest, PolicyAnswer, PolicyRequest, QuotaUse, ServiceDemand, ServiceModel,
@@ -273,7 +273,7 @@
 #[test]
 fn a_list_with_names_keeps_its_meaning() {
     let backends = vec![backend("i-3", Some(1_700_000_000_003), "v1"), backend("i-4", None, "v1")];
-    let told = ToldDirectory::Whole(DirectorySnapshot { revision: 40, backends });
+    let told = DirectoryUpdate::Whole(DirectorySnapshot { revision: 40, backends });
     for recorded in [RECORDED_WITH_NAMES, RECORDED_WITH_SLOWNESS] {
         let whole = directory_wire::decode(&directory_answer(recorded, "directory_whole"));
         assert_eq!(whole, Ok(told.clone()));
@@ -288,7 +288,7 @@
     let whole = directory_wire::decode(&directory_answer(RECORDED_BEFORE_NAMES, "directory_whole"));
     // That build told neither lives nor versions.
     let backends = vec![backend("i-3", None, ""), backend("i-4", None, "")];
-    assert_eq!(whole, Ok(ToldDirectory::Whole(DirectorySnapshot { revision: 40, backends })));
+    assert_eq!(whole, Ok(DirectoryUpdate::Whole(DirectorySnapshot { revision: 40, backends })));
     assert_eq!(directory_answer(RECORDED_BEFORE_NAMES, "directory_busy").busy_for_ms, 30);
 }
 
@@ -297,7 +297,7 @@
     let envelope = Envelope::decode(read(RECORDED_BEFORE_NAMES, "directory_request").as_slice());
     let Some(Body::DirectoryRequest(request)) = envelope.expect("it can be read").body else { panic!() };
     let backends = vec![backend("i-3", Some(1_700_000_000_003), "v1"), backend("i-4", None, "v1")];
-    let told = ToldDirectory::Whole(DirectorySnapshot { revision: 40, backends: backends.clone() });
+    let told = DirectoryUpdate::Whole(DirectorySnapshot { revision: 40, backends: backends.clone() });
     let answer = directory_wire::encode_for(&request, &told);
     let bytes = answer.encode_to_vec();
     let by_earlier = earlier::DirectoryWhole::decode(bytes.as_slice()).expect("it can be read");
--- a/crates/beamwall-node/tests/kept_quarantine.rs
+++ b/crates/beamwall-node/tests/kept_quarantine.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use beamwall_gateway::quarantine::TrialPort;
 use beamwall_model::BackendId;
-use beamwall_node::gateway::kept_quarantine::KeptQuarantine;
+use beamwall_node::gateway::stored_quarantine::StoredQuarantine;
 use beamwall_quarantine::{Fingerprint, FingerprintHasher, QuarantineBook};
 use beamwall_store::object::{Object, ObjectError, Version, VersionedObjects};
 use bytes::Bytes;
@@ -35,12 +35,12 @@
 
 struct Node {
     book: Arc<QuarantineBook>,
-    kept: KeptQuarantine,
+    kept: StoredQuarantine,
 }
 
 fn node(objects: &Arc<Objects>) -> Node {
     let book: Arc<QuarantineBook> = Arc::default();
-    let kept = KeptQuarantine::new(objects.clone(), book.clone(), Arc::default());
+    let kept = StoredQuarantine::new(objects.clone(), book.clone(), Arc::default());
     Node { book, kept }
 }
 
@@ -64,9 +64,9 @@
     let objects: Arc<Objects> = Arc::default();
     let first = node(&objects);
     hold(&first);
-    first.kept.keep_due().await;
+    first.kept.write_if_due().await;
     let next = node(&objects);
-    next.kept.recall().await;
+    next.kept.restore().await;
     assert_eq!(next.book.held(), first.book.held());
 }
 
@@ -85,7 +85,7 @@
         assert_eq!(granted, 1, "trial {number}");
     }
     let later = node(&objects);
-    later.kept.recall().await;
+    later.kept.restore().await;
     assert!(!later.kept.take(&request(), 2, now_ms() + 100).await, "also in a next life");
 }
 
@@ -95,10 +95,10 @@
     let object = Object { key: String::new(), version: 7, value: Bytes::from_static(b"[1, 2]") };
     objects.0.lock().expect("no panic").insert("reports/held-requests".to_owned(), object);
     let first = node(&objects);
-    first.kept.recall().await;
+    first.kept.restore().await;
     hold(&first);
-    first.kept.keep_due().await;
+    first.kept.write_if_due().await;
     let next = node(&objects);
-    next.kept.recall().await;
+    next.kept.restore().await;
     assert!(next.book.is_held(&request()));
 }
--- a/crates/beamwall-node/tests/loads_to_pass_on.rs
+++ b/crates/beamwall-node/tests/loads_to_pass_on.rs
@@ -3,7 +3,7 @@
 use beamwall_gateway::ports::DirectorySnapshot;
 use beamwall_gateway::{Backend, Directory, Vanishing};
 use beamwall_model::ServiceName;
-use beamwall_node::gateway::loads_to_pass_on::LoadsToPassOn;
+use beamwall_node::gateway::forwarded_loads::ForwardedLoads;
 use beamwall_peer::gateway_message::BackendLoad;
 
 /// Engines of each of two services: three groups.
@@ -50,24 +50,24 @@
     let placer = |group: beamwall_gateway::placement_groups::EngineGroup| {
         (group.number != 1).then(|| names[group.number as usize].into())
     };
-    let sorted = LoadsToPassOn::sort(&loads(&directory), &directory, is_model, placer);
+    let sorted = ForwardedLoads::split_by_receiver(&loads(&directory), &directory, is_model, placer);
     assert_eq!(sorted.to_all.len(), ENGINES);
     assert!(sorted.to_all.iter().all(|load| load.backend.starts_with("plain")));
     let of = |number: u32| {
         let group = beamwall_gateway::placement_groups::EngineGroup { number, count: 3 };
         directory.usable_in_group(&"model".into(), group).count()
     };
-    assert_eq!(sorted.to_placers[&"n0".into()].len(), of(0));
-    assert_eq!(sorted.to_placers[&"n2".into()].len(), of(2));
-    assert_eq!(sorted.to_placers.len(), 2);
+    assert_eq!(sorted.to_placement_nodes[&"n0".into()].len(), of(0));
+    assert_eq!(sorted.to_placement_nodes[&"n2".into()].len(), of(2));
+    assert_eq!(sorted.to_placement_nodes.len(), 2);
 }
 
 #[test]
 fn work_at_engines_that_are_not_divided_is_told_to_all() {
     let directory = directory(12);
-    let sorted = LoadsToPassOn::sort(&loads(&directory), &directory, is_model, |_| None);
+    let sorted = ForwardedLoads::split_by_receiver(&loads(&directory), &directory, is_model, |_| None);
     assert_eq!(sorted.to_all.len(), 24);
     let mut unknown = loads(&directory);
     unknown[0].backend = "not-listed-yet".to_owned();
-    assert_eq!(LoadsToPassOn::sort(&unknown, &directory, is_model, |_| None).to_all.len(), 24);
+    assert_eq!(ForwardedLoads::split_by_receiver(&unknown, &directory, is_model, |_| None).to_all.len(), 24);
 }
--- a/crates/beamwall-node/tests/placers.rs
+++ b/crates/beamwall-node/tests/placers.rs
@@ -6,7 +6,7 @@
 
 use beamwall_gateway::placement_groups::EngineGroup;
 use beamwall_model::{NodeId, ZoneName};
-use beamwall_node::gateway::placers::{Asker, Placer, Placers};
+use beamwall_node::gateway::placement_router::{LocalNode, PlacementRouter, PlacementTarget};
 use beamwall_node::shared::MembershipView;
 use beamwall_peer::{Member, MemberState};
 use tokio::time::Instant;
@@ -28,8 +28,8 @@
     if number < 3 * ZONES { 200 } else { 20 }
 }
 
-fn asker(number: usize) -> Asker {
-    Asker { node: name(number), zone: zone(number), link_mbps: link_mbps(number) }
+fn asker(number: usize) -> LocalNode {
+    LocalNode { node: name(number), zone: zone(number), link_mbps: link_mbps(number) }
 }
 
 /// What a node knows: the nodes of its zone from themselves, all others by hearsay.
@@ -56,10 +56,15 @@
     EngineGroup { number, count: GROUPS }
 }
 
-fn found(placers: &mut Placers, number: usize, view: &Arc<MembershipView>, group: EngineGroup) -> NodeId {
-    match placers.find(&asker(number), view, group, Instant::now()) {
-        Placer::Asker => name(number),
-        Placer::Peer(member) => member.node,
+fn found(
+    placers: &mut PlacementRouter,
+    number: usize,
+    view: &Arc<MembershipView>,
+    group: EngineGroup,
+) -> NodeId {
+    match placers.select_target(&asker(number), view, group, Instant::now()) {
+        PlacementTarget::Local => name(number),
+        PlacementTarget::Peer(member) => member.node,
     }
 }
 
@@ -68,7 +73,7 @@
 fn all_nodes_ask_the_same_node_for_a_group_and_different_ones_for_different_groups() {
     let mut by_group = HashSet::new();
     for number in 0..GROUPS {
-        let ask = |node: usize| found(&mut Placers::default(), node, &view_of(node), group(number));
+        let ask = |node: usize| found(&mut PlacementRouter::default(), node, &view_of(node), group(number));
         let chosen: HashSet<NodeId> = [0, 7, 33, 101, 200, 294].into_iter().map(ask).collect();
         assert_eq!(chosen.len(), 1, "{chosen:?}");
         by_group.extend(chosen);
@@ -81,7 +86,7 @@
 #[test]
 fn a_node_that_does_not_answer_gives_its_group_up_at_once_and_is_tried_again() {
     let (own, view, now) = (100, view_of(100), Instant::now());
-    let mut placers = Placers::default();
+    let mut placers = PlacementRouter::default();
     let first = found(&mut placers, own, &view, group(0));
     assert_eq!(placers.note_miss(&first, now), Some(Duration::from_millis(500)));
     assert_eq!(placers.note_miss(&first, now), None, "requests that were asked together miss once");
@@ -90,9 +95,14 @@
     let is_close = (0..NODES).any(|number| name(number) == second && zone(number) == zone(own));
     assert!(is_close, "{second} is of another zone");
     let after = |wait_ms: u64| now + Duration::from_millis(wait_ms);
-    let ask = |placers: &mut Placers, at: Instant| match placers.find(&asker(own), &view, group(0), at) {
-        Placer::Asker => name(own),
-        Placer::Peer(member) => member.node,
+    let ask = |placers: &mut PlacementRouter, at: Instant| match placers.select_target(
+        &asker(own),
+        &view,
+        group(0),
+        at,
+    ) {
+        PlacementTarget::Local => name(own),
+        PlacementTarget::Peer(member) => member.node,
     };
     assert_eq!(ask(&mut placers, after(501)), first);
     assert_eq!(placers.note_miss(&first, after(501)), Some(Duration::from_secs(1)));
@@ -107,7 +117,7 @@
     let cut = 2;
     let in_zone = |number: &usize| zone(*number) == zone(cut);
     let after_misses = |own: usize| {
-        let (view, mut placers) = (view_of(own), Placers::default());
+        let (view, mut placers) = (view_of(own), PlacementRouter::default());
         let mut misses = 0;
         loop {
             let chosen = found(&mut placers, own, &view, group(1));
@@ -127,10 +137,10 @@
 fn nodes_that_are_dead_or_drain_do_not_place() {
     let own = 100;
     let mut view = MembershipView::clone(&view_of(own));
-    let first = found(&mut Placers::default(), own, &Arc::new(view.clone()), group(2));
+    let first = found(&mut PlacementRouter::default(), own, &Arc::new(view.clone()), group(2));
     let member = view.members.iter_mut().find(|member| member.node == first).expect("a member");
     member.state = MemberState::Suspect;
-    assert_ne!(found(&mut Placers::default(), own, &Arc::new(view.clone()), group(2)), first);
+    assert_ne!(found(&mut PlacementRouter::default(), own, &Arc::new(view.clone()), group(2)), first);
     let alone = Arc::new(MembershipView::default());
-    assert_eq!(found(&mut Placers::default(), own, &alone, group(2)), name(own));
+    assert_eq!(found(&mut PlacementRouter::default(), own, &alone, group(2)), name(own));
 }
