--- a/crates/beamwall-node/src/gateway/directory_sync.rs
+++ b/crates/beamwall-node/src/gateway/directory_sync.rs
@@ -16,9 +16,9 @@
 
 use crate::actors::directory::{ApplyTold, TakeSnapshot};
 use crate::gateway::directory_wire::{self, DirectoryUpdate};
-use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
+use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
 use crate::gateway::peer_versions::{pause_for_busy, to_busy_ms};
-use crate::gateway::store_watch::{BACKENDS, WATCHERS_PER_ZONE};
+use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
 impl PeerExchange {
     /// What a peer lacks of the list held here, or when to ask again.
--- a/crates/beamwall-node/src/gateway/drain.rs
+++ b/crates/beamwall-node/src/gateway/drain.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 
 /// Time for the balancer, which asks each second, to see twice that the node is not ready. Requests are
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -31,8 +31,8 @@
 use crate::gateway::duties::checkpoint::DutyCheckpointer;
 use crate::gateway::duties::rollouts::{RolloutDuty, RolloutTerm};
 use crate::gateway::duties::usage::{UsageDuty, UsageProgress};
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::node_selector::NodeSelector;
-use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::stored_models::ModelStorage;
 use crate::gateway::stored_quarantine::StoredQuarantine;
 
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::duties::checkpoint::DutyCheckpointer;
 use crate::gateway::duties::{LeaseHold, describe};
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 
 /// Time after a window's end until all nodes have told their counts.
 const USAGE_SETTLE_TIME: Duration = Duration::from_millis(1_700);
--- a/crates/beamwall-node/src/gateway/peer_exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -35,7 +35,7 @@
 use crate::gateway::peer_versions::PeerVersions;
 use crate::gateway::policy_sync::PolicyDistribution;
 use crate::gateway::readiness::Readiness;
-use crate::gateway::zone_summaries::RemoteZones;
+use crate::gateway::zones::RemoteZones;
 use crate::shared::MembershipView;
 
 /// Nodes that tell each other up to which every one speaks with every other; beyond, membership picks targets.
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -7,7 +7,7 @@
 use beamwall_peer::MemberState;
 use prometheus::{GaugeVec, IntGauge, Opts, Registry};
 
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 use crate::metrics::gauge;
 
--- a/crates/beamwall-node/src/gateway/directory_reader.rs
+++ b/crates/beamwall-node/src/gateway/listing.rs
@@ -21,8 +21,8 @@
 use crate::actors::directory::{DirectoryActor, UseMeanwhile};
 use crate::gateway::node_selector::NodeSelector;
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::store_watch::{BACKENDS, WATCHERS_PER_ZONE};
 use crate::gateway::unreadable_entries::UnreadableEntries;
+use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
 /// Pages that every node reads: 200 back ends at a store that gives 50 a page.
 const PAGES_READ_BY_ALL: usize = 4;
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -5,18 +5,17 @@
 //! node does for all run under a lease.
 
 pub mod counter_deltas;
-pub mod directory_reader;
 pub mod directory_sync;
 pub mod directory_wire;
 pub mod drain;
 pub mod duties;
+pub mod exchange;
 pub mod forwarded_loads;
 pub mod gauges;
 pub mod heartbeat_wire;
-mod limit_sharing;
+pub mod listing;
 pub mod node_selector;
 pub mod observations;
-pub mod peer_exchange;
 pub mod peer_placement;
 pub mod peer_restarts;
 pub mod peer_versions;
@@ -27,16 +26,17 @@
 pub mod readiness;
 pub mod rollout_wire;
 pub mod rollouts;
+mod sharing;
 pub mod stall_monitor;
 pub mod store_status;
-pub mod store_watch;
 mod stored_models;
 mod stored_objects;
 pub mod stored_quarantine;
-pub mod suspension_monitor;
+pub mod suspension;
 pub mod unreadable_entries;
 mod usage_recovery;
-pub mod zone_summaries;
+pub mod watches;
+pub mod zones;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -76,11 +76,11 @@
 use crate::actors::membership::MembershipActor;
 use crate::actors::policy::PolicyActor;
 use crate::error::NodeError;
-use crate::gateway::directory_reader::DirectoryReader;
 use crate::gateway::duties::{Duties, DutyPorts};
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::gauges::GatewayGauges;
+use crate::gateway::listing::DirectoryReader;
 use crate::gateway::node_selector::NodeSelector;
-use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::peer_placement::PeerPlacement;
 use crate::gateway::peer_restarts::PeerRestarts;
 use crate::gateway::peer_versions::PeerVersions;
@@ -89,10 +89,10 @@
 use crate::gateway::rollouts::WatchedOrders;
 use crate::gateway::stall_monitor::StallMonitor;
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::store_watch::{WatchedBackends, WatchedPolicy};
 use crate::gateway::stored_quarantine::StoredQuarantine;
-use crate::gateway::suspension_monitor::SuspensionMonitor;
+use crate::gateway::suspension::SuspensionMonitor;
 use crate::gateway::unreadable_entries::UnreadableEntries;
+use crate::gateway::watches::{WatchedBackends, WatchedPolicy};
 use crate::metrics;
 use crate::shared::MembershipView;
 
@@ -209,18 +209,10 @@
         let mut tasks = vec![
             tokio::spawn(serve_forever(readiness_listener, status_handler.clone())),
             tokio::spawn(serve_forever(metrics_listener, status_handler)),
-            tokio::spawn(store_watch::watch_resource(
-                watched_policy.clone(),
-                status.clone(),
-                selector.clone(),
-            )),
-            tokio::spawn(store_watch::verify_resource(watched_policy, selector.clone())),
-            tokio::spawn(store_watch::watch_resource(
-                watched_backends.clone(),
-                status.clone(),
-                selector.clone(),
-            )),
-            tokio::spawn(store_watch::verify_resource(watched_backends, selector.clone())),
+            tokio::spawn(watches::watch_resource(watched_policy.clone(), status.clone(), selector.clone())),
+            tokio::spawn(watches::verify_resource(watched_policy, selector.clone())),
+            tokio::spawn(watches::watch_resource(watched_backends.clone(), status.clone(), selector.clone())),
+            tokio::spawn(watches::verify_resource(watched_backends, selector.clone())),
             tokio::spawn(exchange.clone().send_heartbeats()),
             tokio::spawn(exchange.clone().receive(inbox)),
         ];
@@ -233,12 +225,12 @@
         tasks.push(tokio::spawn(restore_held_requests(stored_quarantine.clone(), gateway.clone())));
         if let Some(store) = ports.rollouts.clone() {
             let watched_orders = Arc::new(WatchedOrders { store, exchange: exchange.clone() });
-            tasks.push(tokio::spawn(store_watch::watch_resource(
+            tasks.push(tokio::spawn(watches::watch_resource(
                 watched_orders.clone(),
                 status,
                 selector.clone(),
             )));
-            tasks.push(tokio::spawn(store_watch::verify_resource(watched_orders, selector.clone())));
+            tasks.push(tokio::spawn(watches::verify_resource(watched_orders, selector.clone())));
         }
         if let Some(calls) = ports.duties {
             let duty_ports = DutyPorts { objects: ports.objects, calls, rollouts: ports.rollouts };
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -8,8 +8,8 @@
 use beamwall_peer::gateway_message::{BackendSlowness, ServiceModel};
 use tokio::time::Instant;
 
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::heartbeat_wire;
-use crate::gateway::peer_exchange::PeerExchange;
 
 /// Least time between two heartbeats that tell what was observed of services, for each peer told: about 200 bytes a
 /// service, so that they cost some 4 KB a second whatever the number of peers.
--- a/crates/beamwall-node/src/gateway/policy_sync.rs
+++ b/crates/beamwall-node/src/gateway/policy_sync.rs
@@ -17,9 +17,9 @@
 use tokio::time::Instant;
 
 use crate::actors::policy::ApplyPolicyChange;
-use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
+use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
 use crate::gateway::peer_versions::{PeerVersions, pause_for_busy, to_busy_ms};
-use crate::gateway::store_watch::{POLICY, WATCHERS_PER_ZONE};
+use crate::gateway::watches::{POLICY, WATCHERS_PER_ZONE};
 
 /// Time after which a node that lacks a version that others hold says so: an eighth of the 8 s within which an
 /// accepted edit must be in force everywhere.
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -13,7 +13,7 @@
 use prost::Message;
 use tokio::time::Instant;
 
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::quarantine_wire::{decode, encode};
 
 /// Least time between two questions for all that a peer knows: while news is on its way, digests differ for some milliseconds.
--- a/crates/beamwall-node/src/gateway/readiness.rs
+++ b/crates/beamwall-node/src/gateway/readiness.rs
@@ -11,10 +11,10 @@
 use hyper::{Request, Response, StatusCode};
 use prometheus::{Encoder, Registry, TextEncoder};
 
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::gauges::GatewayGauges;
-use crate::gateway::peer_exchange::PeerExchange;
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::store_watch::{BACKENDS, POLICY};
+use crate::gateway::watches::{BACKENDS, POLICY};
 
 /// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -12,9 +12,9 @@
 use beamwall_peer::rollout_message::RolloutNews;
 use beamwall_rollout::{OrderNews, RolloutBook};
 
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::rollout_wire;
-use crate::gateway::store_watch::WatchedResource;
+use crate::gateway::watches::WatchedResource;
 
 /// Longest wait of one watch call: orders are rare, and each call has its price.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
--- a/crates/beamwall-node/src/gateway/limit_sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -10,7 +10,7 @@
 use beamwall_peer::{Member, MemberState};
 use tokio::time::Instant;
 
-use crate::gateway::peer_exchange::PeerExchange;
+use crate::gateway::exchange::PeerExchange;
 
 /// Silence, in halves of the longest time between two heartbeats, after which a peer may be cut off. What
 /// both sides of a cut let pass before they miss each other must stay within what is tolerated.
--- a/crates/beamwall-node/src/gateway/stall_monitor.rs
+++ b/crates/beamwall-node/src/gateway/stall_monitor.rs
@@ -9,7 +9,7 @@
 use beamwall_events::internal_events::ProcessStoodStill;
 use prometheus::{Histogram, HistogramOpts, Registry};
 
-use crate::gateway::suspension_monitor::SuspensionMonitor;
+use crate::gateway::suspension::SuspensionMonitor;
 
 /// Lateness of the process's timers that is worth a line in the log.
 const LOG_THRESHOLD: Duration = Duration::from_millis(250);
--- a/crates/beamwall-node/src/gateway/usage_recovery.rs
+++ b/crates/beamwall-node/src/gateway/usage_recovery.rs
@@ -9,8 +9,8 @@
 use beamwall_peer::gateway_message::{LifeUsage, UsageKnown, UsageRequest};
 use beamwall_peer::{Body, Envelope, MemberState};
 
+use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, REPORTED_WINDOWS};
 use crate::gateway::heartbeat_wire;
-use crate::gateway::peer_exchange::{ANSWER_TIMEOUT, PeerExchange, REPORTED_WINDOWS};
 
 /// Time after the start until the members are known and have told their own usage.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(600);
--- a/crates/beamwall-node/src/gateway/store_watch.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -25,7 +25,7 @@
 
 use crate::actors::directory::{ApplyChanges, DirectoryActor, ReadingTaken, TakeReading};
 use crate::actors::policy::{OfferPolicy, PolicyActor};
-use crate::gateway::directory_reader::{DirectoryReader, ListRead, ReadPurpose};
+use crate::gateway::listing::{DirectoryReader, ListRead, ReadPurpose};
 use crate::gateway::node_selector::NodeSelector;
 use crate::gateway::store_status::StoreStatus;
 
--- a/crates/beamwall-node/src/gateway/zone_summaries.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -20,9 +20,9 @@
 use beamwall_peer::{Body, Envelope, Member, MemberState, Target};
 use tokio::time::Instant;
 
+use crate::gateway::exchange::{PeerExchange, REPORTED_WINDOWS};
 use crate::gateway::forwarded_loads::ForwardedLoads;
 use crate::gateway::heartbeat_wire;
-use crate::gateway::peer_exchange::{PeerExchange, REPORTED_WINDOWS};
 use crate::gateway::placement_router::{LocalNode, PlacementRouter};
 use crate::shared::MembershipView;
 
