--- a/crates/beamwall-node/src/actors/directory.rs
+++ b/crates/beamwall-node/src/actors/directory.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::gateway::store_status::StoreStatus;
-use crate::gateway::store_watch::BACKENDS;
+use crate::gateway::watches::BACKENDS;
 
 /// Time for which lapsed back ends are used. Those that live are listed again about two seconds after the
 /// store's return; those that don't must not get requests for longer.
