--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -13,6 +13,7 @@
 pub mod forwarded_loads;
 pub mod gauges;
 pub mod heartbeat_wire;
+mod known_usage;
 pub mod listing;
 pub mod node_selector;
 pub mod observations;
@@ -34,7 +35,6 @@
 pub mod stored_quarantine;
 pub mod suspension;
 pub mod unreadable_entries;
-mod usage_recovery;
 pub mod watches;
 pub mod zones;
 
