--- a/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
+++ b/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
@@ -34,11 +34,11 @@
 impl DemandTracker {
     /// Takes the demand of now: up at once, down slowly.
     pub(super) fn update_from(&mut self, gateway: &Gateway, service: &ServiceName) {
-        let asked = gateway.forwarder.demand.total(service);
-        if asked.is_some_and(|work| work.requests > 0.0) {
+        let requested = gateway.forwarder.demand.total(service);
+        if requested.is_some_and(|work| work.requests > 0.0) {
             self.first_request.get_or_insert_with(Instant::now);
         }
-        let newest = asked.unwrap_or_default();
+        let newest = requested.unwrap_or_default();
         self.work = newest.max(self.work.mixed_with(newest, DECAY_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -85,9 +85,9 @@
             self.read_fixed(progress).await;
         }
         let Some((_, fixed)) = &progress.fixed else { return };
-        let done = self.done(progress.reported_through, fixed);
-        self.checkpointer.note_first_open_window(done.first_open());
-        let Some(due) = self.due_window(&done, fixed) else { return };
+        let window_progress = self.window_progress(progress.reported_through, fixed);
+        self.checkpointer.note_first_open_window(window_progress.first_open());
+        let Some(due) = self.due_window(&window_progress, fixed) else { return };
         let Some(counts) = self.fix(progress, due).await else { return };
         let Some(holder) = lease_hold.holder() else { return };
         let after = self.clock().ended_for(due, self.window_length).unwrap_or_default();
@@ -106,7 +106,7 @@
         }
     }
 
-    fn done(&self, reported_through: Option<u64>, fixed: &FixedUsage) -> WindowProgress {
+    fn window_progress(&self, reported_through: Option<u64>, fixed: &FixedUsage) -> WindowProgress {
         WindowProgress {
             reported_through,
             newest_fixed: fixed.newest(),
@@ -114,7 +114,7 @@
         }
     }
 
-    fn due_window(&self, done: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
+    fn due_window(&self, window_progress: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
         let timing = UsageTiming {
             window: self.window_length,
             settles: if self.exchange.is_large_deployment() {
@@ -126,7 +126,7 @@
             forgotten: REPORT_DEADLINE,
         };
         let is_complete = self.exchange.members_not_heard() == 0;
-        done.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
+        window_progress.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
     }
 
     fn clock(&self) -> WindowClock {
@@ -144,8 +144,9 @@
                 let fixed = serde_json::from_slice(&object.value).unwrap_or_else(|error| {
                     emit(&FixedUsageUnreadable { reason: format!("{error}") });
                     let ended = self.clock().current.saturating_sub(1);
-                    progress.reported_through =
-                        Some(progress.reported_through.map_or(ended, |done| done.max(ended)));
+                    progress.reported_through = Some(
+                        progress.reported_through.map_or(ended, |last_reported| last_reported.max(ended)),
+                    );
                     FixedUsage::default()
                 });
                 progress.fixed = Some((object.version, fixed));
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -143,12 +143,12 @@
     /// Sends heartbeats, every period and at once when quotas ask for it, and news of versions, until the task is
     /// ended.
     pub async fn send_heartbeats(self: Arc<Self>) {
-        let mut last_beat = Instant::now();
+        let mut last_heartbeat = Instant::now();
         loop {
             let (period, pause) = self.heartbeat_timing();
             tokio::select! {
                 biased;
-                () = tokio::time::sleep_until(last_beat + period) => {}
+                () = tokio::time::sleep_until(last_heartbeat + period) => {}
                 () = self.heartbeat_trigger.notified() => {}
                 () = self.versions_changed.notified() => {
                     self.announce_versions();
@@ -156,7 +156,7 @@
                     continue;
                 }
             }
-            last_beat = Instant::now();
+            last_heartbeat = Instant::now();
             self.send_heartbeat().await;
             tokio::time::sleep(pause).await;
         }
@@ -212,9 +212,9 @@
         let (models, slowness) = self.own_observations();
         let base = self.heartbeat_without_quotas(tick.updates);
         let usage = if self.is_large_deployment() { self.usage_delta() } else { base.usage };
-        let beat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..base };
-        let probe = self.envelope(Body::GatewayBeat(GatewayBeat { wants_answer: true, ..beat.clone() }));
-        let plain = self.envelope(Body::GatewayBeat(beat));
+        let heartbeat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..base };
+        let probe = self.envelope(Body::GatewayBeat(GatewayBeat { wants_answer: true, ..heartbeat.clone() }));
+        let plain = self.envelope(Body::GatewayBeat(heartbeat));
         let probed: HashSet<SocketAddr> =
             tick.targets.iter().filter(|target| target.wants_answer).map(|target| target.address).collect();
         for address in self.targets(tick.targets.iter().map(|target| target.address)) {
@@ -347,7 +347,9 @@
         let body = envelope.body.take();
         self.note_generation(&envelope, body.as_ref());
         let (members, knows) = match &body {
-            Some(Body::GatewayBeat(beat)) => (beat.members.clone(), beat.members_known as usize),
+            Some(Body::GatewayBeat(heartbeat)) => {
+                (heartbeat.members.clone(), heartbeat.members_known as usize)
+            }
             _ => (Vec::new(), 0),
         };
         let receipt = Hear { envelope: envelope.clone(), members, knows: (knows > 0).then_some(knows) };
@@ -358,7 +360,7 @@
             self.reply(&envelope, Body::GatewayBeat(introduction));
         }
         match body {
-            Some(Body::GatewayBeat(beat)) => self.handle_heartbeat(&envelope, beat),
+            Some(Body::GatewayBeat(heartbeat)) => self.handle_heartbeat(&envelope, heartbeat),
             Some(Body::VersionNews(news)) => self.handle_versions(&envelope, news),
             Some(Body::ZoneSummary(summary)) => self.handle_zone_summary(&envelope, summary),
             Some(Body::ProbeRequest(probe)) => self.probe_on_behalf(&probe),
@@ -392,8 +394,8 @@
 
     fn probe_on_behalf(&self, probe: &ProbeRequest) {
         if let Ok(address) = probe.address.parse() {
-            let beat = GatewayBeat { wants_answer: true, ..self.heartbeat_without_quotas(Vec::new()) };
-            self.network.send(address, &self.envelope(Body::GatewayBeat(beat)));
+            let heartbeat = GatewayBeat { wants_answer: true, ..self.heartbeat_without_quotas(Vec::new()) };
+            self.network.send(address, &self.envelope(Body::GatewayBeat(heartbeat)));
         }
     }
 
@@ -403,29 +405,29 @@
         self.note_directory_revision(address, versions.directory_revision, versions.directory_digest);
     }
 
-    fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, beat: GatewayBeat) {
-        if beat.time_ms > 0 {
-            let sender_time = UNIX_EPOCH + Duration::from_millis(beat.time_ms);
+    fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, incoming_heartbeat: GatewayBeat) {
+        if incoming_heartbeat.time_ms > 0 {
+            let sender_time = UNIX_EPOCH + Duration::from_millis(incoming_heartbeat.time_ms);
             self.gateway.forwarder.clock.hear(
                 &NodeId::new(&envelope.sender),
                 sender_time,
                 beamwall_clock::now(),
             );
         }
-        if beat.wants_answer {
+        if incoming_heartbeat.wants_answer {
             self.reply(envelope, Body::GatewayBeat(self.heartbeat_without_quotas(Vec::new())));
         }
         let versions = VersionNews {
-            policy_version: beat.policy_version,
-            directory_revision: beat.directory_revision,
-            directory_digest: beat.directory_digest,
-            life: beat.life,
+            policy_version: incoming_heartbeat.policy_version,
+            directory_revision: incoming_heartbeat.directory_revision,
+            directory_digest: incoming_heartbeat.directory_digest,
+            life: incoming_heartbeat.life,
         };
         self.handle_versions(envelope, versions);
-        self.compare_quarantine_digest(envelope, beat.quarantine_digest);
+        self.compare_quarantine_digest(envelope, incoming_heartbeat.quarantine_digest);
         // In a large deployment the work of other zones comes as sums.
         if self.is_direct_peer(envelope) {
-            self.apply_node_report(&envelope.sender, beat);
+            self.apply_node_report(&envelope.sender, incoming_heartbeat);
         }
     }
 
@@ -438,7 +440,7 @@
     /// members as known until now may have an earlier life of a peer of which others told.
     fn note_generation(&self, envelope: &Envelope, body: Option<&Body>) {
         let generation = match body {
-            Some(Body::GatewayBeat(beat)) => beat.life,
+            Some(Body::GatewayBeat(heartbeat)) => heartbeat.life,
             Some(Body::VersionNews(news)) => news.life,
             _ => 0,
         };
@@ -452,20 +454,20 @@
     }
 
     /// Takes what a node tells of its own work.
-    fn apply_node_report(&self, sender: &str, beat: GatewayBeat) {
+    fn apply_node_report(&self, sender: &str, heartbeat: GatewayBeat) {
         let node = NodeId::new(sender);
-        if let Some(news) = &beat.rollouts {
-            self.apply_node_rollouts(&node, beat.life, news);
+        if let Some(news) = &heartbeat.rollouts {
+            self.apply_node_rollouts(&node, heartbeat.life, news);
         }
         let reporter = Reporter::Node(node.clone());
         let forwarder = &self.gateway.forwarder;
-        forwarder.knowledge.loads.set_peer(&reporter, heartbeat_wire::decode_loads(beat.loads));
-        forwarder.usage.merge(&node, beat.life, heartbeat_wire::decode_usage(beat.usage));
-        if !beat.demands.is_empty() {
-            forwarder.demand.set_peer(&reporter, heartbeat_wire::decode_demands(&beat.demands));
+        forwarder.knowledge.loads.set_peer(&reporter, heartbeat_wire::decode_loads(heartbeat.loads));
+        forwarder.usage.merge(&node, heartbeat.life, heartbeat_wire::decode_usage(heartbeat.usage));
+        if !heartbeat.demands.is_empty() {
+            forwarder.demand.set_peer(&reporter, heartbeat_wire::decode_demands(&heartbeat.demands));
         }
-        self.apply_observations(&reporter, &beat.models, &beat.slowness);
-        let uses = heartbeat_wire::decode_quota_uses(&beat.quota_uses);
-        self.gateway.quotas.hear(&node, beat.life, uses, Instant::now());
+        self.apply_observations(&reporter, &heartbeat.models, &heartbeat.slowness);
+        let uses = heartbeat_wire::decode_quota_uses(&heartbeat.quota_uses);
+        self.gateway.quotas.hear(&node, heartbeat.life, uses, Instant::now());
     }
 }
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -55,10 +55,10 @@
     fn longest_running_peer(&self) -> Option<SocketAddr> {
         let view = self.members.load();
         let is_large_deployment = self.is_large_deployment();
-        let close = view.members.iter().filter(|member| {
+        let direct = view.members.iter().filter(|member| {
             member.state == MemberState::Alive && (!is_large_deployment || member.zone == self.zone)
         });
-        close.min_by_key(|member| member.incarnation).map(|member| member.address)
+        direct.min_by_key(|member| member.incarnation).map(|member| member.address)
     }
 
     fn merge_recovered_usage(&self, known: UsageKnown) {
--- a/crates/beamwall-node/src/gateway/peer_restarts.rs
+++ b/crates/beamwall-node/src/gateway/peer_restarts.rs
@@ -26,7 +26,7 @@
 }
 
 /// The life of a peer that is heard for the first time, in the life `number`. Incarnations begin with the number of the life.
-fn first_run(generation: u64, member: Option<Member>) -> PeerRun {
+fn last_known_run(generation: u64, member: Option<Member>) -> PeerRun {
     let earlier = member.filter(|member| member.incarnation < generation);
     earlier.map_or(PeerRun { generation, was_draining: false }, |member| PeerRun {
         generation: member.incarnation,
@@ -45,7 +45,7 @@
     pub(super) fn note(&self, envelope: &Envelope, generation: u64, member: impl FnOnce() -> Option<Member>) {
         let peer = NodeId::new(&envelope.sender);
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let current_run = last.entry(peer).or_insert_with(|| first_run(generation, member()));
+        let current_run = last.entry(peer).or_insert_with(|| last_known_run(generation, member()));
         if generation < current_run.generation {
             return;
         }
--- a/crates/beamwall-node/src/gateway/placement_router.rs
+++ b/crates/beamwall-node/src/gateway/placement_router.rs
@@ -92,12 +92,12 @@
         let primary = self.primary(local, view, group).clone();
         let chosen = match primary {
             Some(member) if is_paused(&self.paused, &member.node, now) => {
-                let close = view.members.iter().filter(|member| {
+                let same_zone = view.members.iter().filter(|member| {
                     member.zone == local.zone
                         && member.is_usable()
                         && !is_paused(&self.paused, &member.node, now)
                 });
-                choose_by_hash(local, close, group)
+                choose_by_hash(local, same_zone, group)
             }
             primary => primary,
         };
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -38,8 +38,8 @@
     const BATCH_DELAY: Duration = Duration::ZERO;
     const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        if let Some(revision) = reached {
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        if let Some(revision) = last_revision {
             let (now_at, has_changed) = self.store.wait_for_orders(revision, WATCH_WAIT).await?;
             if !has_changed {
                 return Ok(now_at);
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -84,7 +84,7 @@
     /// Reads it whole, or watches on from the revision reached; gives the revision reached then.
     fn read_or_watch(
         &self,
-        reached: Option<u64>,
+        last_revision: Option<u64>,
     ) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
 
     /// Takes what a cheaper reading brings that was not told; gives its revision, or `None` where there is nothing new.
@@ -106,20 +106,20 @@
     selector: NodeSelector,
 ) {
     let mut backoff = Backoff::new();
-    let mut reached: Option<u64> = None;
+    let mut last_revision: Option<u64> = None;
     let mut suspected_stale = pin!(resource.suspected_stale());
     loop {
         let step_future = async {
-            if reached.is_some() {
+            if last_revision.is_some() {
                 selector.wait_until_selected(F::SUBJECT, WATCHERS_PER_ZONE).await;
             }
-            resource.read_or_watch(reached).await
+            resource.read_or_watch(last_revision).await
         };
         let answer = tokio::select! {
             answer = step_future => answer,
-            () = &mut suspected_stale, if reached.is_some() => {
+            () = &mut suspected_stale, if last_revision.is_some() => {
                 suspected_stale.set(resource.suspected_stale());
-                reached = None;
+                last_revision = None;
                 continue;
             }
         };
@@ -127,13 +127,13 @@
             Ok(revision) => {
                 status.note_answer(F::SUBJECT);
                 backoff.reset();
-                if reached.is_some_and(|before| before < revision) {
+                if last_revision.is_some_and(|before| before < revision) {
                     tokio::time::sleep(F::BATCH_DELAY).await;
                 }
-                reached = Some(revision);
+                last_revision = Some(revision);
             }
             Err(error) => {
-                reached = reached.filter(|_| may_resume(&error));
+                last_revision = last_revision.filter(|_| may_resume(&error));
                 status.note_failure(F::SUBJECT, &error.to_string());
                 backoff.pause().await;
             }
@@ -172,8 +172,8 @@
     const BATCH_DELAY: Duration = Duration::ZERO;
     const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        let PolicyAnswer { revision, policy } = match reached {
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        let PolicyAnswer { revision, policy } = match last_revision {
             None => self.store.policy().await?,
             Some(revision) => self.store.watch_policy(revision, WATCH_WAIT).await?,
         };
@@ -221,8 +221,8 @@
     const BATCH_DELAY: Duration = Duration::from_millis(60);
     const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn read_or_watch(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        match reached {
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        match last_revision {
             None => self.read_whole_list().await,
             Some(base) => {
                 let watched = self.store.watch_backends(base, WATCH_WAIT).await?;
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -29,7 +29,7 @@
 /// Members up to which all nodes tell each other, whatever their zone.
 pub(super) const SMALL_DEPLOYMENT_MAX_MEMBERS: usize = 24;
 /// Time without a sum after which a zone's nodes count as not heard.
-const HEARD_WITHIN: Duration = Duration::from_millis(2_500);
+const SUMMARY_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time after which a zone's sum is passed on although the link is taken, so that the zone is heard.
 const FORWARD_WITHIN: Duration = Duration::from_secs(1);
 /// Time without a sum after which a zone's open work and demand are not counted any more.
@@ -40,7 +40,7 @@
 pub struct RemoteZones {
     known_zones: Mutex<HashMap<ZoneName, RemoteZone>>,
     /// Number of the next sum, by which the receiving relays take turns.
-    next_relay: AtomicUsize,
+    rotation: AtomicUsize,
     /// When this relay last passed on a zone's sum.
     last_forwarded: Mutex<HashMap<ZoneName, Instant>>,
     /// Whether zones have been known by sums since the start.
@@ -77,13 +77,13 @@
     /// Nodes of all other zones that are heard by relays that are heard.
     pub(super) fn nodes_heard(&self) -> usize {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
-        known_zones.values().filter(|zone| zone.at.elapsed() < HEARD_WITHIN).map(|zone| zone.nodes).sum()
+        known_zones.values().filter(|zone| zone.at.elapsed() < SUMMARY_TIMEOUT).map(|zone| zone.nodes).sum()
     }
 
     /// Zones that were heard and have fallen silent.
     pub(super) fn silent(&self) -> HashSet<ZoneName> {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
-        let expired = known_zones.iter().filter(|(_, zone)| zone.at.elapsed() >= HEARD_WITHIN);
+        let expired = known_zones.iter().filter(|(_, zone)| zone.at.elapsed() >= SUMMARY_TIMEOUT);
         expired.map(|(zone, _)| zone.clone()).collect()
     }
 
@@ -119,16 +119,16 @@
             self.forget_reporter(&Reporter::Zone(zone));
         }
         if self.members.load().is_relay {
-            let sum = self.envelope(Body::ZoneSummary(self.zone_summary()));
+            let message = self.envelope(Body::ZoneSummary(self.zone_summary()));
             for address in self.receiving_relays(targets) {
-                self.network.send(address, &sum);
+                self.network.send(address, &message);
             }
         }
     }
 
     /// Of the relays of other zones that are probed anyway, one a zone, by turns.
     fn receiving_relays(&self, targets: &[Target]) -> Vec<SocketAddr> {
-        let next_relay = self.zones.next_relay.fetch_add(1, Ordering::Relaxed);
+        let rotation = self.zones.rotation.fetch_add(1, Ordering::Relaxed);
         let view = self.members.load();
         let mut by_zone: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         for member in view.members.iter().filter(|member| member.zone != self.zone) {
@@ -137,7 +137,7 @@
                 by_zone.entry(&member.zone).or_default().push(member.address);
             }
         }
-        by_zone.values().map(|relays| relays[next_relay % relays.len()]).collect()
+        by_zone.values().map(|relays| relays[rotation % relays.len()]).collect()
     }
 
     fn zone_summary(&self) -> ZoneSummary {
@@ -191,15 +191,15 @@
         let members: Vec<&Member> = self.zone_members(&view.members).collect();
         let sorted = self.partition_loads(&summary.loads, &view);
         let to_all = ZoneSummary { loads: sorted.to_all, ..summary.clone() };
-        let sum = self.envelope(Body::ZoneSummary(to_all.clone()));
+        let message = self.envelope(Body::ZoneSummary(to_all.clone()));
         let now = Instant::now();
-        let has_room = self.transfers.admit(sum.size_bytes() * members.len(), now).is_ok();
+        let has_room = self.transfers.admit(message.size_bytes() * members.len(), now).is_ok();
         if !self.zones.should_forward(zone, has_room, now) {
             return;
         }
         for member in members {
             match sorted.to_placement_nodes.get(&member.node) {
-                None => self.network.send(member.address, &sum),
+                None => self.network.send(member.address, &message),
                 Some(placed) => {
                     let loads = [to_all.loads.as_slice(), placed].concat();
                     let summary = ZoneSummary { loads, ..to_all.clone() };
