--- a/crates/beamwall-node/src/gateway/counter_deltas.rs
+++ b/crates/beamwall-node/src/gateway/counter_deltas.rs
@@ -1,17 +1,19 @@
-//! Leaves figures out of heartbeats that the receivers know already.
+//! Omits from heartbeats the counters that the receivers already know.
 //!
-//! Counts only grow, so a receiver that misses one heartbeat learns them with a later one. A figure is told in some heartbeats
-//! after each change, and all are told now and then, for nodes that lost those or have just started.
+//! Counters only grow, so a receiver that loses one heartbeat catches up with a later one. A counter is sent
+//! in several heartbeats after each change, and a full report goes out periodically for nodes that lost those
+//! heartbeats or have just started.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Heartbeats in which a changed figure is told: messages to a busy peer are dropped, but seldom three in a row.
+/// Heartbeats that carry a changed counter: messages to a busy peer are dropped, but seldom three in a row.
 const SENDS_PER_CHANGE: u32 = 3;
-/// Heartbeats from one that tells all figures to the next: who was cut off for longer learns them within three seconds.
+/// Interval of full reports, in heartbeats: a node that was cut off for longer catches up within three
+/// seconds.
 const FULL_REPORT_INTERVAL: u32 = 3;
 
-/// The figures that one node tells.
+/// The counters that one node reports to its peers.
 #[derive(Debug)]
 pub struct CounterDeltas<K> {
     sent: HashMap<K, SentCounter>,
@@ -31,7 +33,7 @@
 }
 
 impl<K: Hash + Eq + Clone> CounterDeltas<K> {
-    /// Of the figures of now those that belong into the next heartbeat. Figures that are not among them are forgotten.
+    /// Returns the counters that belong in the next heartbeat. Counters missing from `counters` are dropped.
     pub fn next_report(&mut self, counters: Vec<(K, u64)>) -> Vec<(K, u64)> {
         let is_full_report = self.heartbeats.is_multiple_of(FULL_REPORT_INTERVAL);
         self.heartbeats = self.heartbeats.wrapping_add(1);
--- a/crates/beamwall-node/src/gateway/directory_sync.rs
+++ b/crates/beamwall-node/src/gateway/directory_sync.rs
@@ -1,8 +1,9 @@
-//! How a newer list of back ends reaches the nodes that the store did not tell.
+//! Distribution of newer lists of back ends to nodes that did not receive them from the control store.
 //!
-//! A node that hears of a newer list asks one of those that hold it, and is told what changed since the one that it holds,
-//! or all where that is not known any more. Whole lists are given at the pace of the link: a node that gives many sends
-//! further ones away, which by then find another node that holds the list. Changes are short and never wait.
+//! A node that learns of a newer list requests it from one of the peers that hold it, and receives the
+//! changes since its own revision, or the whole list when that revision is no longer in the history. Whole
+//! lists are paced by the link: a node that sends many of them turns further requesters away, which by then
+//! find another holder. Changes are short and never wait.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +22,11 @@
 use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
 impl PeerExchange {
-    /// What a peer lacks of the list held here, or when to ask again.
+    /// Answers a peer with the changes since its revision, the whole list, or the time after which to ask
+    /// again.
     pub(super) fn answer_directory(&self, request: DirectoryRequest) -> DirectoryAnswer {
         let directory = self.directory.load();
-        // A build that reads JSON only reads no changes, and tells no revision that it holds.
+        // Builds that read JSON only can't read changes, and send no revision of their own.
         let may_read_whole_only = request.held_revision == 0 && !request.reads_names;
         let changes = directory.changes_since(request.held_revision).filter(|_| !may_read_whole_only);
         if let Some(changes) = changes {
@@ -37,8 +39,7 @@
         }
     }
 
-    /// Takes the revision and the digest of the list that a peer holds, and asks for it where they tell of a
-    /// newer one.
+    /// Records the revision and digest of the list that a peer holds, and fetches the list if it is newer.
     pub(super) fn note_directory_revision(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
         let directory = self.directory.load();
         self.gateway.forwarder.knowledge.doubts.note_peer(peer, revision, digest, Instant::now());
@@ -52,7 +53,7 @@
         self.directory.load().revision()
     }
 
-    /// Asks peers until this node holds the newest list told, or none that holds it answers.
+    /// Requests the list from peers until this node holds the newest reported one, or no holder answers.
     async fn fetch_directory(self: Arc<Self>) {
         if self.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE) {
             tokio::time::sleep(WATCH_HEAD_START).await;
@@ -67,7 +68,8 @@
                 Some(answer) => self.take_directory(peer, held, &answer).await,
                 None => false,
             };
-            // What came meanwhile is no fault of the peer: it is asked again from there.
+            // If the own list changed during the request, the peer is not at fault: the request is repeated
+            // from the new revision.
             let has_moved_on = self.directory_revision() != held;
             if !is_taken && !has_moved_on {
                 self.directory_versions.remove_holder(peer);
@@ -86,10 +88,10 @@
         }
     }
 
-    /// Takes what a peer told to a node that held the revision `held`; returns whether it was newer.
+    /// Applies a peer's answer to a request sent at revision `held`; returns whether it was newer.
     async fn take_directory(&self, peer: SocketAddr, held: u64, answer: &DirectoryAnswer) -> bool {
         let source = peer.to_string();
-        // The actor ends only with the node.
+        // The actor stops only together with the node.
         match directory_wire::decode(answer) {
             Ok(DirectoryUpdate::Whole(snapshot)) => {
                 self.directory_actor.ask(TakeSnapshot { snapshot, source }).await.unwrap_or(false)
--- a/crates/beamwall-node/src/gateway/directory_wire.rs
+++ b/crates/beamwall-node/src/gateway/directory_wire.rs
@@ -1,4 +1,4 @@
-//! Lists of back ends and their changes in the form of messages.
+//! Conversion of lists of back ends and their changes to and from messages.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,34 +14,34 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// Why a peer's list can't be read.
+    /// Why a list received from a peer can't be read.
     #[derive(Debug, PartialEq, Eq)]
     pub enum DirectoryWireError {
-        /// A back end refers to a name that is not among those sent.
+        /// A back end refers to a name index that is not in the message.
         Name(backend: String) {
             display("back end {} has a service, zone or version without a name", backend)
         }
-        /// The list of an earlier build can't be read.
+        /// The JSON list of an earlier build can't be parsed.
         Json(reason: String) {
             display("a list as JSON: {}", reason)
         }
-        /// An address is none.
+        /// The address of a back end can't be parsed.
         Address(backend: String) {
             display("back end {} has no readable address", backend)
         }
     }
 }
 
-/// A list, or what changed in it.
+/// A whole list, or the changes in it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectoryUpdate {
-    /// What follows the revision that was held.
+    /// The changes that follow the receiver's revision.
     Changes(DirectoryChanges),
-    /// All of it.
+    /// The whole list.
     Whole(DirectorySnapshot),
 }
 
-/// The names of one message, each sent once.
+/// String table of one message: each name is sent once.
 #[derive(Default)]
 struct Names {
     positions: HashMap<String, u32>,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What is told of a list.
+/// Encodes a list or its changes.
 pub fn encode(update: &DirectoryUpdate) -> DirectoryAnswer {
     let mut names = Names::default();
     let mut answer = DirectoryAnswer::default();
@@ -101,8 +101,9 @@
     answer
 }
 
-/// What is told of a list to who asked for it. Builds that read JSON only hold no revision that they would tell, and don't say that
-/// they read names: what they get has both forms, since the first builds that read names don't say so either.
+/// Encodes a list or its changes for the peer that requested them. Builds that read JSON only send no
+/// revision and do not set `reads_names`. The first builds that read names do not set it either, so such
+/// requesters receive both encodings.
 pub fn encode_for(request: &DirectoryRequest, update: &DirectoryUpdate) -> DirectoryAnswer {
     let mut answer = encode(update);
     if let DirectoryUpdate::Whole(snapshot) = update
@@ -113,7 +114,7 @@
     answer
 }
 
-/// A back end as earlier builds tell it, as JSON: without life and version, by the name of its instance.
+/// A back end in the JSON of earlier builds: identified by its instance name, without start time and version.
 #[derive(Debug, Serialize, Deserialize)]
 struct JsonBackend {
     id: String,
@@ -137,7 +138,7 @@
     };
     let backends: Vec<JsonBackend> = snapshot.backends.iter().map(backend).collect();
     compressed::encode(&backends).unwrap_or_else(|error| {
-        // Builds that read names have the list in their form.
+        // Builds that read names use the other encoding of the same list.
         emit(&PeerDirectoryUnusable { peer: String::new(), reason: error.to_string() });
         Vec::new()
     })
@@ -164,7 +165,7 @@
     Ok(backends.into_iter().map(backend).collect())
 }
 
-/// What was told of a list.
+/// Decodes a list or its changes.
 pub fn decode(answer: &DirectoryAnswer) -> Result<DirectoryUpdate, DirectoryWireError> {
     let services: Vec<ServiceName> = answer.names.iter().map(ServiceName::new).collect();
     let zones: Vec<ZoneName> = answer.names.iter().map(ZoneName::new).collect();
--- a/crates/beamwall-node/src/gateway/drain.rs
+++ b/crates/beamwall-node/src/gateway/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving service: the balancer learns first, then connections close, open requests end.
+//! Draining: the load balancer is notified first, then connections are closed and open requests finish.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::gateway::exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 
-/// Time for the balancer, which asks each second, to see twice that the node is not ready. Requests are
-/// taken until then, and no longer: the longest streams need the rest of the limit to end.
+/// Time for the balancer, which polls once a second, to see twice that the node is not ready. New requests
+/// are accepted until then and no longer: the longest streams need the rest of the limit to finish.
 const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_400);
-/// Part of the limit that the balancer gets at most.
+/// The balancer gets at most the limit divided by this.
 const BALANCER_DIVISOR: u32 = 2;
-/// Time kept at the end for the last heartbeat.
+/// Time reserved at the end for the final heartbeat.
 const FINAL_HEARTBEAT_TIME: Duration = Duration::from_millis(300);
 
 /// Drains a node within `limit`.
@@ -42,7 +42,7 @@
     stopping.send_replace(true);
     let ended = tokio::time::timeout_at(deadline - FINAL_HEARTBEAT_TIME.min(limit), callers).await.is_ok();
     let abandoned = if ended { 0 } else { exchange.open_requests() };
-    // The peers must know what was counted here to the end.
+    // Peers need the final counts of this node.
     exchange.send_heartbeat().await;
     tokio::time::sleep(FINAL_HEARTBEAT_TIME.min(limit) / 2).await;
     emit(&DrainFinished {
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -1,4 +1,4 @@
-//! The number of back ends: the demand is followed, and what the plan wants is ordered.
+//! Capacity of services: tracks demand and orders back ends according to the scaling plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use crate::gateway::duties::demand_tracker::DemandTracker;
 use crate::gateway::duties::{LeaseHold, describe};
 
-/// Time between two looks at the number of back ends.
+/// Time between two evaluations of the number of back ends.
 const SCALING_PERIOD: Duration = Duration::from_millis(500);
-/// The orders of one tenure, and when to look at them.
+/// The orders of one lease term, and when to evaluate them next.
 #[derive(Debug, Default)]
 pub(super) struct OrderTerm {
     book: OrderBook,
     next_check: Option<Instant>,
-    /// Services of which it was said that their needs are not known.
+    /// Services whose unknown needs have been logged.
     logged_unknown: BTreeSet<ServiceName>,
 }
 
 impl OrderTerm {
-    /// A tenure that goes on from what the last holder kept.
+    /// Starts a term with the orders that the previous lease holder saved.
     pub(super) fn resuming(saved: Vec<KeptOrder>) -> Self {
         Self { book: OrderBook::continuing(saved, Instant::now()), ..Self::default() }
     }
@@ -46,7 +46,7 @@
 }
 
 impl CapacityDuty {
-    /// A duty that has seen no demand yet.
+    /// Creates the duty, with no demand recorded yet.
     pub(super) fn new(
         gateway: Arc<Gateway>,
         port: Arc<dyn DutyPort>,
@@ -55,7 +55,7 @@
         Self { gateway, port, checkpointer, demands: BTreeMap::new() }
     }
 
-    /// Follows the demand for each service that is scaled: up at once, down slowly.
+    /// Updates the demand of each scaled service: increases apply at once, decreases gradually.
     pub(super) fn observe_demand(&mut self) {
         let policy = self.gateway.policy.load();
         for service in policy.policy().services.iter().filter(|service| service.scaling.is_some()) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Gives the orders that are due.
+    /// Submits the orders that are due.
     pub(super) async fn order_due(&self, term: &mut OrderTerm, lease_hold: &LeaseHold) {
         let now = Instant::now();
         if term.next_check.is_some_and(|at| now < at) {
@@ -76,7 +76,8 @@
             let is_settled = self.demands.get(&service.name).is_some_and(DemandTracker::is_settled);
             is_settled || self.predecessor_needs(&service.name).is_some()
         };
-        // While a service moves to another version its numbers stay: those of both versions would count as one.
+        // While a service moves to another version its orders stay unchanged: the back ends of both versions
+        // would be counted as one.
         let rollouts = &self.gateway.forwarder.rollouts;
         let is_moving = |service: &Shared<Service>| rollouts.is_running(&service.name);
         let services = policy.policy().services.iter().filter(is_settled);
@@ -89,7 +90,7 @@
         self.checkpointer.note_orders(term.book.to_keep());
     }
 
-    /// Says once a tenure of each service that its back ends are kept because its needs are not known.
+    /// Logs once per term each service whose back ends are kept because its needs are unknown.
     fn log_unknown_needs(&self, term: &mut OrderTerm) {
         for (service, demand) in self.demands.iter().filter(|(_, demand)| demand.is_demand_unknown()) {
             if term.logged_unknown.insert(service.clone()) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Gives one order, unless it was refused a moment ago, and notes what came of it.
+    /// Submits one order, unless it failed recently, and records the result.
     async fn submit_order(
         &self,
         order: CapacityOrder,
@@ -126,7 +127,7 @@
             Err(error) => {
                 let newly_exhausted = term.book.note_refused(&order, error == DutyError::Exhausted, now);
                 if newly_exhausted {
-                    // What can't be had is news: lasting ones stand in for it from the next look on.
+                    // The exhausted supply is replaced by lasting back ends from the next evaluation on.
                     term.next_check = None;
                 }
             }
@@ -145,13 +146,15 @@
             zone: zone.clone(),
             lasting_usable,
             reclaimable_usable: usable(true),
-            // Where nothing is kept of what a predecessor ordered, it is known what came of it.
+            // Without a saved order of the predecessor, the usable back ends are the result of what it
+            // ordered.
             lasting_ordered: book.ordered(&key(false)).unwrap_or(lasting_usable),
             is_exhausted: book.is_exhausted(&key(true)),
         }
     }
 
-    /// Back ends that a service's work needs: while that is not known, what the last holder found; without that the floor decides.
+    /// Back ends that a service needs: while unknown, the number found by the previous lease holder; without
+    /// one, the floor decides.
     fn needed(&self, policy: &TrafficPolicy, service: &Service) -> Needed {
         if let Some(needed) = self.predecessor_needs(&service.name) {
             return needed;
@@ -164,13 +167,13 @@
         needed
     }
 
-    /// What the last holder found that a service needs, until this node knows it.
+    /// Needs of a service found by the previous lease holder, until this node knows them itself.
     fn predecessor_needs(&self, service: &ServiceName) -> Option<Needed> {
         let is_unknown = self.demands.get(service).is_none_or(DemandTracker::is_demand_unknown);
         self.checkpointer.inherited_needs(service).filter(|_| is_unknown)
     }
 
-    /// Back ends that are kept because nothing is known of the needs.
+    /// Back ends that are kept because the needs of the service are unknown.
     fn floor(&self, service: &ServiceName) -> u32 {
         match self.predecessor_needs(service) {
             Some(_) => 0,
--- a/crates/beamwall-node/src/gateway/duties/checkpoint.rs
+++ b/crates/beamwall-node/src/gateway/duties/checkpoint.rs
@@ -1,4 +1,5 @@
-//! What the duties of this node keep with the lease, and went on from: open windows of usage, the needs of services, and orders.
+//! State of the duties that is stored with the lease and restored by the next holder: open usage windows,
+//! needs of services, and orders.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,26 +13,26 @@
 use beamwall_peer::compressed;
 use beamwall_store::Checkpoint;
 
-/// Largest checkpoint, as text: the platform bounds the size of an object.
+/// Maximum size of a checkpoint, as text: the platform limits the size of an object.
 const CHECKPOINT_LIMIT_BYTES: usize = 256 << 10;
 
 #[derive(Debug)]
 struct State {
     first_open_window: u64,
     needs: BTreeMap<ServiceName, Needed>,
-    /// Needs that the last holder kept.
+    /// Needs that the previous lease holder saved.
     inherited_needs: BTreeMap<ServiceName, Needed>,
     orders: Vec<KeptOrder>,
 }
 
-/// What the duties keep with the lease.
+/// Saves and restores the state of the duties.
 pub(super) struct DutyCheckpointer {
     gateway: Arc<Gateway>,
     state: Mutex<State>,
 }
 
 impl DutyCheckpointer {
-    /// Nothing taken over yet: usage begins with the window of now.
+    /// Starts without restored state: usage begins with the current window.
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
         let (current, _) = gateway.forwarder.usage.window_at(gateway.forwarder.clock.now());
         let state = State {
@@ -47,32 +48,32 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The oldest window of usage that is not fixed, as far as this node knows.
+    /// The oldest usage window that is not fixed, as far as this node knows.
     pub(super) fn first_open_window(&self) -> u64 {
         self.lock().first_open_window
     }
 
-    /// Notes the oldest window that is not fixed.
+    /// Records the oldest window that is not fixed.
     pub(super) fn note_first_open_window(&self, window: u64) {
         self.lock().first_open_window = window;
     }
 
-    /// Notes what a service needs.
+    /// Records the needs of a service.
     pub(super) fn note_needs(&self, service: &ServiceName, needed: Needed) {
         self.lock().needs.insert(service.clone(), needed);
     }
 
-    /// What a service needed when the last holder looked.
+    /// Needs of a service at the last evaluation of the previous lease holder.
     pub(super) fn inherited_needs(&self, service: &ServiceName) -> Option<Needed> {
         self.lock().inherited_needs.get(service).copied()
     }
 
-    /// Notes what was ordered.
+    /// Records the current orders.
     pub(super) fn note_orders(&self, orders: Vec<KeptOrder>) {
         self.lock().orders = orders;
     }
 
-    /// What was ordered last, as far as this node knows.
+    /// The last orders known to this node.
     pub(super) fn orders(&self) -> Vec<KeptOrder> {
         self.lock().orders.clone()
     }
@@ -135,7 +136,8 @@
     }
 
     fn take_over(&self, saved: &str) {
-        // A holder of an earlier build keeps nothing, and may have ordered otherwise than this node once did.
+        // A lease holder of an earlier build saves nothing, and its orders may differ from those of this
+        // node's last term.
         if saved.is_empty() {
             return self.forget_orders();
         }
--- a/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
+++ b/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
@@ -1,4 +1,4 @@
-//! The work that callers ask of one service, as followed for planning, and how many back ends it needs.
+//! Demand for one service, as tracked for capacity planning, and the number of back ends that it needs.
 
 use std::time::Duration;
 
@@ -9,30 +9,30 @@
 use beamwall_policy::{Route, Service, Shared, TrafficPolicy, USUAL_OBJECTIVE_MS};
 use tokio::time::Instant;
 
-/// Time after the first request for which the number of back ends found at the start is kept.
+/// Time after the first request during which the number of back ends found at the start is kept.
 const DEMAND_WARM_UP: Duration = Duration::from_secs(5);
-/// Time without a new back end after which all seem to be listed: at the start they are listed one after
-/// another, each within the period at which back ends write their entries.
+/// Time without a new back end after which the list counts as complete: at the start back ends appear one
+/// after another, each within the period at which back ends write their entries.
 const LIST_SETTLE_TIME: Duration = Duration::from_millis(1_500);
-/// Weight of the newest sample when the demand falls; when it rises it is taken at once.
+/// Weight of the newest sample when the demand falls; increases are applied at once.
 const DECAY_WEIGHT: f64 = 0.02;
 
-/// The demand for one service as followed for planning.
+/// The tracked demand for one service.
 #[derive(Debug, Default)]
 pub(super) struct DemandTracker {
-    /// Work in a second: up at once, down slowly.
+    /// Work per second: increases apply at once, decreases gradually.
     work: Workload,
-    /// Whether enough is known of the back ends to say how many the work needs.
+    /// Whether enough is known of the back ends to compute how many the work needs.
     is_known: bool,
-    /// Most back ends seen before the demand was known.
+    /// Largest number of back ends seen before the demand was known.
     peak_backends: usize,
-    /// When there were last more than before: at the start they are listed one after another.
+    /// When that number last grew: at the start back ends are listed one after another.
     peak_at: Option<Instant>,
     first_request: Option<Instant>,
 }
 
 impl DemandTracker {
-    /// Takes the demand of now: up at once, down slowly.
+    /// Applies the current demand: increases at once, decreases gradually.
     pub(super) fn update_from(&mut self, gateway: &Gateway, service: &ServiceName) {
         let requested = gateway.forwarder.demand.total(service);
         if requested.is_some_and(|work| work.requests > 0.0) {
@@ -62,7 +62,7 @@
         sizing::needed(self.work, &estimates, slots(gateway, service), objectives(policy, service))
     }
 
-    /// Whether a plan can be made: the needs are known, or all back ends seem to be listed.
+    /// Whether a plan can be made: the needs are known, or the list of back ends counts as complete.
     pub(super) fn is_settled(&self) -> bool {
         let listed = self.peak_at.is_some_and(|at| at.elapsed() >= LIST_SETTLE_TIME);
         listed || !self.is_demand_unknown()
@@ -73,20 +73,20 @@
         !self.is_known || self.first_request.is_none_or(|at| at.elapsed() < DEMAND_WARM_UP)
     }
 
-    /// Back ends that are kept while the needs are not known.
+    /// Back ends that are kept while the needs are unknown.
     pub(super) fn floor(&self) -> u32 {
         if self.is_demand_unknown() { self.peak_backends as u32 } else { 0 }
     }
 }
 
-/// Requests that one back end of a service works on at once.
+/// Concurrent requests that one back end of a service processes.
 fn slots(gateway: &Gateway, service: &Service) -> u32 {
     let directory = gateway.forwarder.directory.load();
     let listed = || directory.usable(&service.name).map(|backend| backend.slots).min();
     service.engine.map(|engine| engine.slots).or_else(listed).unwrap_or(1).max(1)
 }
 
-/// What callers want of a service: the tightest of the objectives of the streams that routes send there.
+/// Latency objectives of a service: the tightest of the streaming routes that target it.
 fn objectives(policy: &TrafficPolicy, service: &Service) -> Objectives {
     let is_stream_to_service = |route: &&Shared<Route>| {
         route.kind.is_stream() && route.targets.iter().any(|target| target.service == service.name)
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -1,9 +1,10 @@
-//! Duties that one node does for all, under a lease: usage reports, the number of back ends, and rollouts.
+//! Duties that one node performs for all, under a lease: usage reports, capacity orders, and rollouts.
 //!
-//! The counts of a window are fixed in the store before they are reported, so that a successor
-//! repeats the same numbers. The store's conditional write decides whose counts are fixed.
+//! The counts of a window are fixed in the store before they are reported, so that a successor repeats the
+//! same numbers. The store's conditional write decides which counts are fixed.
 //!
-//! What is not fixed yet, what services need and what was ordered is kept with each renewal of the lease (`kept`).
+//! Usage that is not fixed yet, needs of services and orders are saved with each renewal of the lease
+//! (`checkpoint`).
 
 mod capacity;
 mod checkpoint;
@@ -36,14 +37,14 @@
 use crate::gateway::stored_models::ModelStorage;
 use crate::gateway::stored_quarantine::StoredQuarantine;
 
-/// Time between two looks at what is due.
+/// Time between two checks for duties that are due.
 const DUTY_POLL_PERIOD: Duration = Duration::from_millis(250);
 /// Nodes of a zone that contend for the lease.
 const CONTENDERS_PER_ZONE: usize = 1;
-/// The lease on all duties.
+/// Name of the lease for all duties.
 const LEASE_NAME: &str = "gateway-duties";
 
-/// The right to act for one tenure: it ends with the lease.
+/// The right to act during one lease term; it ends with the lease.
 pub(crate) struct LeaseHold {
     node: NodeId,
     epoch: u64,
@@ -51,14 +52,14 @@
 }
 
 impl LeaseHold {
-    /// The holder as told in calls, while the lease is held.
+    /// Identifies the lease holder in calls; `None` once the lease is lost.
     fn holder(&self) -> Option<DutyHolder> {
         let held = self.lease.borrow().held_epoch();
         (held == Some(self.epoch)).then(|| DutyHolder { node: self.node.to_string(), epoch: self.epoch })
     }
 }
 
-/// What the holder of the lease has done in one tenure.
+/// State of one lease term.
 struct LeaseTerm {
     lease_hold: LeaseHold,
     usage: UsageProgress,
@@ -66,13 +67,13 @@
     rollouts: RolloutTerm,
 }
 
-/// What the duties meet outside.
+/// Ports of the duties.
 pub struct DutyPorts {
-    /// The objects that the lease and reports are kept in.
+    /// The objects that store the lease and reports.
     pub objects: Arc<dyn VersionedObjects>,
-    /// Usage reports and orders of back ends.
+    /// Sends usage reports and orders of back ends.
     pub calls: Arc<dyn DutyPort>,
-    /// Orders to move a service to another version; absent where they are not followed.
+    /// Rollout orders; `None` where rollouts are disabled.
     pub rollouts: Option<Arc<dyn RolloutStore>>,
 }
 
@@ -84,7 +85,7 @@
     objects: Arc<dyn VersionedObjects>,
     checkpointer: Arc<DutyCheckpointer>,
     selector: NodeSelector,
-    /// The epoch held, for metrics; 0 while none is.
+    /// Metric of the current lease epoch; 0 while this node does not hold the lease.
     lease_epoch: IntGauge,
     usage: Option<UsageDuty>,
     capacity: Option<CapacityDuty>,
@@ -94,7 +95,7 @@
 }
 
 impl Duties {
-    /// The duties that the settings name.
+    /// Creates the duties that are enabled in the settings.
     pub fn new(
         settings: &GatewaySettings,
         gateway: &Arc<Gateway>,
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Contends for the lease and does what is due while holding it, until the task is ended.
+    /// Contends for the lease and performs the duties that are due while holding it, until the task is
+    /// aborted.
     pub async fn run(mut self) {
         let (lease, state) = Lease::over(LEASE_NAME, self.node.clone(), self.objects.clone());
         let lease = lease.at(self.address).keeping(self.checkpointer.clone());
@@ -178,7 +180,8 @@
     }
 
     async fn run_due(&self, term: &mut LeaseTerm) {
-        // On a part of the list a rollout would seem to be done, and back ends that are not known yet would be given up.
+        // With a partial list a rollout would appear complete, and back ends that are not listed yet would be
+        // released.
         let knows_all = self.directory.load().is_whole();
         if let Some(rollouts) = self.rollouts.as_ref().filter(|_| knows_all) {
             rollouts.decide_due(&mut term.rollouts, &term.lease_hold).await;
@@ -192,7 +195,7 @@
     }
 }
 
-/// Renews the lease while this node holds it, and contends for it while it is chosen to.
+/// Renews the lease while this node holds it, and contends for it while this node is selected to.
 async fn contend(mut lease: Lease, state: watch::Receiver<LeaseState>, selector: NodeSelector) {
     loop {
         let holds = state.borrow().held_epoch().is_some();
@@ -203,7 +206,6 @@
     }
 }
 
-/// Ends a task when its owner is dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -1,4 +1,5 @@
-//! The duty of deciding on rollouts: how far each order goes is told to all nodes, and what comes of it to the operator.
+//! The duty of deciding on rollouts: sends the stage of each order to all nodes, and writes its status for
+//! the operator.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,15 +15,15 @@
 
 use crate::gateway::duties::LeaseHold;
 
-/// The rollouts of one tenure.
+/// The rollouts of one lease term.
 #[derive(Debug, Default)]
 pub(super) struct RolloutTerm {
     running: BTreeMap<OrderId, Rollout>,
-    /// What the operator was told last in this tenure.
+    /// The last status written for the operator in this term.
     reported: BTreeMap<OrderId, Verdict>,
     /// Orders whose move of all traffic was logged.
     staged: BTreeSet<OrderId>,
-    /// Number of the next telling.
+    /// Sequence number of the last stage update.
     stage_updates: u64,
 }
 
@@ -31,18 +32,18 @@
     gateway: Arc<Gateway>,
     store: Arc<dyn RolloutStore>,
     bounds: Bounds,
-    /// Told when peers should hear at once.
+    /// Triggers an immediate heartbeat to peers.
     heartbeat_trigger: Arc<Notify>,
 }
 
 impl RolloutDuty {
-    /// A duty within `bounds`.
+    /// Creates the duty with the given `bounds`.
     pub(super) fn new(gateway: Arc<Gateway>, store: Arc<dyn RolloutStore>, bounds: Bounds) -> Self {
         let heartbeat_trigger = gateway.news.clone();
         Self { gateway, store, bounds, heartbeat_trigger }
     }
 
-    /// Looks at all orders, decides, tells all nodes, and writes what is new for the operator.
+    /// Evaluates all orders, sends their stages to all nodes, and writes changed statuses for the operator.
     pub(super) async fn decide_due(&self, term: &mut RolloutTerm, lease_hold: &LeaseHold) {
         let now = beamwall_clock::now();
         let orders = self.gateway.forwarder.rollouts.orders(now);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Tells the operator what is new. A failure is said, and tried again at the next look.
+    /// Writes a changed status for the operator. A failure is logged, and retried at the next evaluation.
     async fn write_status(&self, term: &mut RolloutTerm, id: &OrderId) {
         let Some(verdict) = term.running.get(id).map(Rollout::verdict) else { return };
         if term.reported.get(id) == Some(&verdict) {
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -18,22 +18,21 @@
 use crate::gateway::duties::{LeaseHold, describe};
 use crate::gateway::exchange::PeerExchange;
 
-/// Time after a window's end until all nodes have told their counts.
+/// Time after a window's end until all nodes have reported their counts.
 const USAGE_SETTLE_TIME: Duration = Duration::from_millis(1_700);
-/// The same in a large deployment, where counts of other zones pass through two relays.
+/// The same in a large deployment, where the counts of other zones pass through two relays.
 const USAGE_SETTLE_TIME_LARGE: Duration = Duration::from_millis(2_600);
-/// Time after a window's end for which counts of silent nodes are waited for: they may be cut off and come back.
+/// Time after a window's end to wait for the counts of silent nodes: they may be cut off and come back.
 const SILENT_NODE_WAIT: Duration = Duration::from_millis(8_000);
-/// Time after a window's end after which it is not reported any more.
+/// Time after a window's end after which it is no longer reported.
 const REPORT_DEADLINE: Duration = Duration::from_secs(30);
-/// Windows whose fixed counts stay in the store.
+/// Number of windows whose fixed counts remain in the store.
 const FIXED_WINDOWS: usize = 8;
-/// Longest time for one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The object that holds fixed counts.
+/// Key of the object that holds the fixed counts.
 const USAGE_KEY: &str = "reports/usage";
 
-/// Counts that were fixed, oldest first.
+/// Fixed counts, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct FixedUsage {
     windows: Vec<WindowCounts>,
@@ -49,7 +48,7 @@
     }
 }
 
-/// What one tenure has read, fixed and reported.
+/// Windows read, fixed and reported in one lease term.
 #[derive(Debug, Default)]
 pub(super) struct UsageProgress {
     fixed: Option<(Version, FixedUsage)>,
@@ -67,7 +66,7 @@
 }
 
 impl UsageDuty {
-    /// A duty that goes on from what is kept.
+    /// Creates the duty, which resumes from the checkpoint.
     pub(super) fn new(
         window_length: Duration,
         checkpointer: Arc<DutyCheckpointer>,
@@ -135,8 +134,9 @@
         WindowClock { current, passed }
     }
 
-    /// Reads what was fixed. Where another writer has taken its place, it is not known which windows were reported, so none that
-    /// has ended is: other counts might differ from those that somebody reported.
+    /// Reads the fixed counts. If another writer has overwritten them, it is unknown which windows were
+    /// reported, so no window that has ended is reported: its counts might differ from those already
+    /// reported.
     async fn read_fixed(&self, progress: &mut UsageProgress) {
         match self.objects.get(USAGE_KEY).await {
             Ok(None) => progress.fixed = Some((ABSENT, FixedUsage::default())),
@@ -151,12 +151,12 @@
                 });
                 progress.fixed = Some((object.version, fixed));
             }
-            // The store is away: `StoreStatus` tells of it, and the next look reads again.
+            // The store is unavailable: `StoreStatus` logs it, and the next check reads again.
             Err(_) => {}
         }
     }
 
-    /// The counts of a window as fixed in the store; fixes this node's if none are.
+    /// Returns the counts of a window as fixed in the store; fixes this node's counts if there are none.
     async fn fix(&self, progress: &mut UsageProgress, window: u64) -> Option<WindowCounts> {
         let (version, fixed) = progress.fixed.clone()?;
         if let Some(counts) = fixed.get(window) {
@@ -179,11 +179,11 @@
                 Some(counts)
             }
             Ok(Settled::Found(object)) => {
-                // Another holder may have fixed more windows since.
+                // Another lease holder may have fixed more windows since.
                 progress.fixed = Some((object.version, parse_fixed(&object)));
                 Some(counts)
             }
-            // Another holder wrote, or it is not known: read before the next try.
+            // Another lease holder wrote, or the result is unknown: read again before the next attempt.
             Ok(Settled::Lost) | Err(_) => {
                 progress.fixed = None;
                 None
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -1,9 +1,9 @@
-//! What gateways tell each other: heartbeats with versions, loads, demands and usage, newer versions at once,
-//! and on request the whole policy or list of back ends.
+//! Message exchange between gateways: heartbeats with versions, loads, demands and usage, immediate
+//! announcements of newer versions, and on request the whole policy or list of back ends.
 //!
-//! Whoever lacks a version that was told asks for it. So one node that the store answers suffices for all that
-//! it can reach. While back ends come and go there are many versions a second, so news of them is short, and
-//! heartbeats keep their period unless quotas must be told at once.
+//! A node that lacks an announced version requests it, so one node that can reach the control store suffices
+//! for all nodes that it can reach. While back ends come and go there are many versions a second, so
+//! announcements are short, and heartbeats keep their period unless quota usage must be sent at once.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -38,110 +38,112 @@
 use crate::gateway::zones::RemoteZones;
 use crate::shared::MembershipView;
 
-/// Nodes that tell each other up to which every one speaks with every other; beyond, membership picks targets.
+/// Up to this number of nodes each one sends to all others; beyond it, membership selects the targets.
 const FULL_MESH_LIMIT: usize = 128;
-/// Time that a node's own watch gets to bring what a peer has, before the peer is asked.
+/// Time in which a node's own watch may deliver a version before a peer is asked for it.
 pub(super) const WATCH_HEAD_START: Duration = Duration::from_millis(60);
-/// Usage windows told in a heartbeat: the ones that may still be reported.
+/// Usage windows sent in a heartbeat: those whose usage report may still be due.
 pub(super) const REPORTED_WINDOWS: usize = 3;
-/// Nodes that get heartbeats up to which all are told of news at once.
+/// Up to this number of heartbeat targets an announcement goes to all of them at once.
 const FULL_ANNOUNCEMENT_LIMIT: usize = 32;
-/// Nodes told of news where there are more: with eight each, some three in 10,000 are missed.
+/// Recipients of an announcement if there are more targets: with eight each, about three nodes in 10,000 are
+/// missed.
 const ANNOUNCEMENT_FAN_OUT: usize = 8;
-/// Least time between two heartbeats.
+/// Minimum time between two heartbeats.
 const MIN_PERIOD: Duration = Duration::from_millis(40);
-/// The same for each member.
+/// Minimum time between two heartbeats per member.
 const MIN_PERIOD_PER_MEMBER: Duration = Duration::from_micros(2_500);
-/// Nodes that tell each other up to which heartbeats keep the usual period.
+/// Up to this number of nodes heartbeats keep the normal period.
 const NORMAL_PERIOD_MAX_NODES: u32 = 12;
-/// Messages that wait to be handled, beside those that wait to be sorted.
+/// Capacity of the queue of messages to be handled; the queue of messages to be dispatched is separate.
 const INBOX_CAPACITY: usize = 4_096;
-/// Longest wait for a peer's answer.
+/// Timeout for a peer's answer.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The sessions of one gateway with its peers.
+/// Message exchange of one gateway with its peers.
 pub struct PeerExchange {
     /// This node.
     pub node: NodeId,
-    /// Its zone.
+    /// The zone of this node.
     pub zone: ZoneName,
     /// Capacity of its network link in Mbit/s.
     pub link_mbps: u32,
     /// Its address for peers.
     pub address: SocketAddr,
-    /// Peer addresses tried at start.
+    /// Peer addresses to contact at start.
     pub seeds: Vec<SocketAddr>,
-    /// Nodes assumed until more are known.
+    /// Number of nodes assumed until more are known.
     pub expected_nodes: usize,
-    /// Number of this life, under which usage is counted.
+    /// Generation of this process, under which its usage is counted.
     pub generation: u64,
-    /// The network.
+    /// The peer network.
     pub network: Arc<PeerNetwork>,
-    /// Who is alive.
+    /// The membership protocol.
     pub membership: ActorRef<MembershipActor>,
-    /// Who is alive, as last published.
+    /// The last published membership view.
     pub members: Arc<ArcSwap<MembershipView>>,
-    /// Policy in force, quotas, loads and usage.
+    /// Policy in effect, quotas, loads and usage.
     pub gateway: Arc<Gateway>,
-    /// The back ends.
+    /// The list of back ends.
     pub directory: Arc<ArcSwap<Directory>>,
-    /// Takes policies.
+    /// Applies policies.
     pub policy_actor: ActorRef<PolicyActor>,
-    /// Takes lists of back ends.
+    /// Applies lists of back ends.
     pub directory_actor: ActorRef<DirectoryActor>,
-    /// Whether this node takes callers.
+    /// Whether this node accepts callers.
     pub readiness: Arc<Readiness>,
-    /// Chooses the nodes that watch the store for their zone.
+    /// Selects the nodes that watch the store for their zone.
     pub selector: NodeSelector,
-    /// Told when peers should hear at once what quotas let pass.
+    /// Triggers an immediate heartbeat, for instance to send quota usage.
     pub heartbeat_trigger: Arc<Notify>,
-    /// Told when a newer policy or list of back ends is held.
+    /// Notified when this node holds a newer policy or list of back ends.
     pub versions_changed: Arc<Notify>,
-    /// When this life began.
+    /// When this process started.
     pub started: Instant,
     /// When demand was last measured.
     pub demand_measured_at: Mutex<Instant>,
-    /// When the models of services were last fitted.
+    /// Limits how often service models are fitted.
     pub model_fit_throttle: Throttle,
-    /// When what was observed of services was last told.
+    /// Limits how often service statistics are sent.
     pub model_report_throttle: Throttle,
-    /// The lists of back ends that peers hold.
+    /// Revisions of the list of back ends that peers hold.
     pub directory_versions: PeerVersions,
-    /// How the lives of peers ended.
+    /// Restarts of peers.
     pub peer_restarts: PeerRestarts,
-    /// Paces what is sent for others' sake.
+    /// Paces transfers that serve other nodes.
     pub transfers: Arc<TransferPacer>,
-    /// The versions of the policy that are told and heard of.
+    /// Versions of the policy announced to and by peers.
     pub policies: PolicyDistribution,
-    /// What is known of the other zones of a large deployment.
+    /// State of the other zones of a large deployment.
     pub zones: RemoteZones,
-    /// When this node may ask for what peers know of requests under which back ends end.
+    /// Limits how often peers are asked for quarantine evidence.
     pub quarantine_request_throttle: Throttle,
-    /// Usage as told to peers in a large deployment.
+    /// Usage already sent to peers in a large deployment.
     pub usage_deltas: Mutex<CounterDeltas<(u64, TenantName)>>,
 }
 
 impl PeerExchange {
-    /// Requests open at this node.
+    /// Requests that this node has open at back ends.
     pub fn open_requests(&self) -> u32 {
         self.gateway.forwarder.knowledge.loads.own().iter().map(|(_, load)| load.requests).sum()
     }
 
-    /// Members whose usage may not be complete here, because they are not heard and may still serve. Where the machine
-    /// refuses connections the process has ended, and counts nothing more.
+    /// Members whose usage may be incomplete here, because they are silent and may still serve callers. A
+    /// machine that refuses connections runs no gateway process any more, so nothing further is counted
+    /// there.
     pub fn members_not_heard(&self) -> usize {
         let may_serve =
             |member: &&Member| member.state != MemberState::Alive && !self.network.is_refused(member.address);
         self.members.load().members.iter().filter(may_serve).count()
     }
 
-    /// Closes the sessions.
+    /// Closes the connections to peers.
     pub fn close(&self) {
         self.network.close();
     }
 
-    /// Sends heartbeats, every period and at once when quotas ask for it, and news of versions, until the task is
-    /// ended.
+    /// Sends heartbeats, every period and at once when triggered, and version announcements, until the task
+    /// is aborted.
     pub async fn send_heartbeats(self: Arc<Self>) {
         let mut last_heartbeat = Instant::now();
         loop {
@@ -162,11 +164,12 @@
         }
     }
 
-    /// Tells what is held here to everyone who gets heartbeats; of other zones of a large deployment to their relays. In a
-    /// large zone some are told, each of which tells some others once it holds the news: it reaches 100 nodes in three
-    /// steps with eight messages a node instead of 99. The few that it misses hear of it by heartbeats.
+    /// Announces the versions held here to all heartbeat targets, and to the relays of other zones in a large
+    /// deployment. In a large zone only some targets receive the announcement, and forward their own to some
+    /// others once they hold the version: it reaches 100 nodes in three steps with eight messages a node
+    /// instead of 99. The few nodes that are missed learn of the version from heartbeats.
     fn announce_versions(&self) {
-        // A policy may bring tenants whose quotas are shared from now on.
+        // A new policy may add tenants whose quotas must be divided from now on.
         self.share_limits();
         let directory = self.directory.load();
         let announcement = self.envelope(Body::VersionNews(VersionNews {
@@ -188,8 +191,8 @@
         }
     }
 
-    /// The longest time between two heartbeats and the shortest: both grow with the number of members,
-    /// since each heartbeat goes to all of them. In a large deployment the members of the zone count.
+    /// Returns the maximum and the minimum time between two heartbeats. Both grow with the number of members,
+    /// since each heartbeat goes to all of them. In a large deployment only the members of the zone count.
     pub(super) fn heartbeat_timing(&self) -> (Duration, Duration) {
         let view = self.members.load();
         let recipients = if self.is_large_deployment() { view.zone_size } else { view.members.len() };
@@ -199,7 +202,7 @@
         (period, MIN_PERIOD.max(MIN_PERIOD_PER_MEMBER * recipients))
     }
 
-    /// Sends one heartbeat to every peer.
+    /// Sends one heartbeat to every target.
     pub async fn send_heartbeat(&self) {
         // The tick publishes when each member was last heard.
         let Ok(tick) = self.membership.ask(Tick).await else { return };
@@ -232,7 +235,8 @@
         }
     }
 
-    /// Usage that the peers may not know: the whole takes some 600 bytes by the sizes of its fields, in each heartbeat to each.
+    /// Usage that peers may not know yet: the full report adds about 600 bytes, by the sizes of its fields,
+    /// to each heartbeat to each peer.
     fn usage_delta(&self) -> Vec<UsageWindow> {
         let counted = self.gateway.forwarder.usage.recent(REPORTED_WINDOWS).into_iter().flat_map(|window| {
             window.counts.into_iter().map(move |(tenant, count)| ((window.window, tenant), count))
@@ -253,8 +257,8 @@
         self.gateway.forwarder.demand.close_period(length)
     }
 
-    /// Everyone alive while there are few, in a large deployment those of the zone; those that membership
-    /// picks, and seeds not known yet.
+    /// All live members in a small deployment, those of the zone in a large one; the targets selected by
+    /// membership, and seeds that are not members yet.
     pub(super) fn targets(
         &self,
         membership_targets: impl Iterator<Item = SocketAddr>,
@@ -274,7 +278,7 @@
         targets
     }
 
-    /// A heartbeat for one peer: without quota uses, which all must be told together.
+    /// A heartbeat for a single peer. It has no quota usage, which must be sent to all peers together.
     fn heartbeat_without_quotas(&self, members: Vec<MemberUpdate>) -> GatewayBeat {
         let directory = self.directory.load();
         let forwarder = &self.gateway.forwarder;
@@ -315,8 +319,8 @@
         }
     }
 
-    /// Handles messages until the network closes. Questions for placements don't wait behind other messages: a caller
-    /// waits for each, and a zone sends hundreds of heartbeats a second.
+    /// Handles messages until the network is closed. Placement requests bypass the queue of other messages: a
+    /// caller waits for each of them, and a zone sends hundreds of heartbeats a second.
     pub async fn receive(self: Arc<Self>, mut inbox: mpsc::Receiver<Envelope>) {
         let (other_messages, waiting) = mpsc::channel(INBOX_CAPACITY);
         let handling = self.clone().handle_all(waiting);
@@ -384,8 +388,8 @@
         }
     }
 
-    /// Places a request for a peer. It tells nothing of members, and there are many, so membership does not
-    /// hear of it.
+    /// Places a request for a peer. Placement requests carry no membership information and are frequent, so
+    /// they are not passed to membership.
     fn answer_placement(&self, envelope: &Envelope, request: PlacementRequest) {
         let question = peer_placement::decode(request, envelope);
         let choice = self.gateway.forwarder.place(&question);
@@ -425,19 +429,20 @@
         };
         self.handle_versions(envelope, versions);
         self.compare_quarantine_digest(envelope, incoming_heartbeat.quarantine_digest);
-        // In a large deployment the work of other zones comes as sums.
+        // In a large deployment the work of other zones arrives in zone summaries.
         if self.is_direct_peer(envelope) {
             self.apply_node_report(&envelope.sender, incoming_heartbeat);
         }
     }
 
-    /// Whether a message is from a node that tells this one its own work.
+    /// Whether the sender of a message reports its own work to this node.
     pub(super) fn is_direct_peer(&self, envelope: &Envelope) -> bool {
         !self.is_large_deployment() || envelope.zone == self.zone.as_str()
     }
 
-    /// Notes the life in which a close peer sent a message, where the message tells it, before anything else of it is taken: the
-    /// members as known until now may have an earlier life of a peer of which others told.
+    /// Records the generation in which a direct peer sent a message, if the message contains it. This comes
+    /// before the rest of the message is applied: the current members may hold an earlier generation of the
+    /// peer, reported by others.
     fn note_generation(&self, envelope: &Envelope, body: Option<&Body>) {
         let generation = match body {
             Some(Body::GatewayBeat(heartbeat)) => heartbeat.life,
@@ -453,7 +458,7 @@
         self.members.load().members.iter().find(|member| member.node.as_str() == node).cloned()
     }
 
-    /// Takes what a node tells of its own work.
+    /// Applies a node's report of its own work.
     fn apply_node_report(&self, sender: &str, heartbeat: GatewayBeat) {
         let node = NodeId::new(sender);
         if let Some(news) = &heartbeat.rollouts {
--- a/crates/beamwall-node/src/gateway/forwarded_loads.rs
+++ b/crates/beamwall-node/src/gateway/forwarded_loads.rs
@@ -1,8 +1,9 @@
-//! Which of another zone's open work each node of this zone is told.
+//! Selects which nodes of this zone receive which open work of another zone.
 //!
-//! Open work at engines that are divided into groups matters to the node that places in a group. Told to all, the busiest of
-//! 300 nodes beside 3,000 engines, a relay, carried 2.9 MB a second in all; with this and shorter heartbeats 1.4 to 1.8.
-//! Work at all other back ends, among which each node chooses for itself, is told to all.
+//! Open work on engines that are divided into groups matters only to the placement node of the group. When it
+//! was sent to all nodes, the busiest of 300 nodes with 3,000 engines, a relay, carried 2.9 MB a second in
+//! all; with this split and shorter heartbeats it carries 1.4 to 1.8. Open work on all other back ends, among
+//! which each node selects itself, is sent to all nodes.
 
 use std::collections::HashMap;
 
@@ -11,18 +12,18 @@
 use beamwall_model::{BackendId, NodeId, ServiceName};
 use beamwall_peer::gateway_message::BackendLoad;
 
-/// Open work, by who is told.
+/// Open work, split by receiver.
 #[derive(Debug, Default, PartialEq)]
 pub struct ForwardedLoads {
-    /// Told to all nodes.
+    /// Sent to all nodes.
     pub to_all: Vec<BackendLoad>,
-    /// Told beside to a node that places.
+    /// Sent in addition to the placement node of a group.
     pub to_placement_nodes: HashMap<NodeId, Vec<BackendLoad>>,
 }
 
 impl ForwardedLoads {
-    /// Sorts open work. `is_placed` tells whether a node chooses among a service's engines for all, and `placer` which of this
-    /// zone's nodes does so in a group, if one does.
+    /// Splits open work by receiver. `is_placed` returns whether placement nodes select the engines of a
+    /// service, and `placement_node` returns the node of this zone that does so for a group, if any.
     pub fn split_by_receiver(
         loads: &[BackendLoad],
         directory: &Directory,
@@ -45,7 +46,7 @@
     }
 }
 
-/// The group of an engine whose service is placed and divided.
+/// Returns the group of an engine if its service is placed and divided into groups.
 fn group_of(
     directory: &Directory,
     id: &BackendId,
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes and holds, as gauges that are read when metrics are fetched.
+//! Gauges of the state of a gateway, updated when metrics are scraped.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -122,7 +122,7 @@
         })
     }
 
-    /// Sets all gauges to what holds now.
+    /// Sets all gauges to the current values.
     pub fn refresh(&self, gateway: &Arc<Gateway>, exchange: &PeerExchange, readiness: &Readiness) {
         let directory = gateway.forwarder.directory.load();
         let draining = directory.backends().filter(|backend| backend.draining).count();
@@ -152,7 +152,8 @@
         self.requests_held.set(book.held().len() as i64);
         self.requests_suspected.set(book.suspects() as i64);
         self.peers_ended_abruptly.set(exchange.peer_restarts.ended_abruptly() as i64);
-        // Accounts are opened with the next heartbeat after a policy; what is read here is complete before it, too.
+        // New quota accounts are otherwise opened with the heartbeat after a policy change; a scrape before
+        // it shows them too.
         exchange.share_limits();
         self.refresh_limits(gateway);
         self.refresh_models(gateway);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Tenants and services that are gone keep no value.
+    /// Sets the gauges of quotas and retry budgets; removed tenants and services lose their series.
     fn refresh_limits(&self, gateway: &Gateway) {
         self.nodes_heard.set(gateway.quotas.sharing().heard as i64);
         self.quota_level.reset();
--- a/crates/beamwall-node/src/gateway/heartbeat_wire.rs
+++ b/crates/beamwall-node/src/gateway/heartbeat_wire.rs
@@ -1,4 +1,4 @@
-//! Heartbeats in the form of messages.
+//! Conversion of heartbeat fields to and from messages.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
     BackendLoad, BackendSlowness, QuotaUse, ServiceDemand, ServiceModel, UsageCount, UsageWindow,
 };
 
-/// Open work as told.
+/// Encodes open work.
 pub fn encode_loads(loads: Vec<(BackendId, OpenLoad)>) -> Vec<BackendLoad> {
     let encode = |(backend, load): (BackendId, OpenLoad)| BackendLoad {
         backend: backend.to_string(),
@@ -20,7 +20,7 @@
     loads.into_iter().map(encode).collect()
 }
 
-/// Open work as heard.
+/// Decodes open work.
 pub fn decode_loads(loads: Vec<BackendLoad>) -> HashMap<BackendId, OpenLoad> {
     let decode = |load: BackendLoad| {
         let open = OpenLoad { requests: load.requests, prompt_tokens: load.prompt_tokens };
@@ -29,18 +29,18 @@
     loads.into_iter().map(decode).collect()
 }
 
-/// Work let pass as told.
+/// Encodes the work admitted under quotas.
 pub fn encode_quota_uses(uses: Vec<(TenantName, f64)>) -> Vec<QuotaUse> {
     let encode = |(tenant, passed): (TenantName, f64)| QuotaUse { tenant: tenant.to_string(), passed };
     uses.into_iter().map(encode).collect()
 }
 
-/// Work let pass as heard.
+/// Decodes the work admitted under quotas.
 pub fn decode_quota_uses(uses: &[QuotaUse]) -> HashMap<TenantName, f64> {
     uses.iter().map(|one| (TenantName::new(&one.tenant), one.passed)).collect()
 }
 
-/// Demands as told.
+/// Encodes demands.
 pub fn encode_demands(demands: HashMap<ServiceName, Workload>) -> Vec<ServiceDemand> {
     let encode = |(service, work): (ServiceName, Workload)| ServiceDemand {
         service: service.to_string(),
@@ -52,7 +52,7 @@
     demands.into_iter().map(encode).collect()
 }
 
-/// Demands as heard.
+/// Decodes demands.
 pub fn decode_demands(demands: &[ServiceDemand]) -> HashMap<ServiceName, Workload> {
     let decode = |demand: &ServiceDemand| {
         let work = Workload {
@@ -66,7 +66,7 @@
     demands.iter().map(decode).collect()
 }
 
-/// What was observed of services as told. Single precision is far more exact than what was measured.
+/// Encodes service statistics. Single precision far exceeds the precision of the measurements.
 pub fn encode_models(
     models: impl IntoIterator<Item = (ServiceName, ServiceStatistics)>,
 ) -> Vec<ServiceModel> {
@@ -77,7 +77,8 @@
     models.into_iter().map(encode).collect()
 }
 
-/// What was observed of services as heard. What is no list of sums, as from a node of another release, is left out.
+/// Decodes service statistics. Lists of sums that can't be parsed, for instance from another release, are
+/// left out.
 pub fn decode_models(models: &[ServiceModel]) -> HashMap<ServiceName, ServiceStatistics> {
     let decode = |model: &ServiceModel| {
         let sums: Vec<f64> = model.sums.iter().copied().map(f64::from).collect();
@@ -87,7 +88,7 @@
     models.iter().filter_map(decode).collect()
 }
 
-/// What was observed of single back ends as told.
+/// Encodes slowness observations of single back ends.
 pub fn encode_slowness(observed: Vec<(BackendId, ToldSlowness)>) -> Vec<BackendSlowness> {
     let encode = |(backend, observation): (BackendId, ToldSlowness)| BackendSlowness {
         backend: backend.to_string(),
@@ -97,7 +98,7 @@
     observed.into_iter().map(encode).collect()
 }
 
-/// What was observed of single back ends as heard.
+/// Decodes slowness observations of single back ends.
 pub fn decode_slowness(messages: &[BackendSlowness]) -> Vec<(BackendId, ToldSlowness)> {
     let decode = |one: &BackendSlowness| {
         let observed = ToldSlowness { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
@@ -106,7 +107,7 @@
     messages.iter().map(decode).collect()
 }
 
-/// Usage as told.
+/// Encodes usage windows.
 pub fn encode_usage(windows: Vec<WindowCounts>) -> Vec<UsageWindow> {
     let count = |(tenant, requests): (TenantName, u64)| UsageCount { tenant: tenant.to_string(), requests };
     let encode = |window: WindowCounts| UsageWindow {
@@ -116,7 +117,7 @@
     windows.into_iter().map(encode).collect()
 }
 
-/// Usage as heard.
+/// Decodes usage windows.
 pub fn decode_usage(windows: Vec<UsageWindow>) -> Vec<WindowCounts> {
     let decode = |window: UsageWindow| {
         let counts: BTreeMap<TenantName, u64> =
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -1,5 +1,5 @@
-//! A gateway that starts learns the usage that was counted before: nobody tells the counts of a life that has ended, so
-//! they would go with those that heard them.
+//! Recovers previously counted usage at the start of a gateway: the counts of a process that has ended are no
+//! longer reported by anyone, so they would be lost with the nodes that received them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, REPORTED_WINDOWS};
 use crate::gateway::heartbeat_wire;
 
-/// Time after the start until the members are known and have told their own usage.
+/// Time after the start until the members are known and have reported their own usage.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(600);
-/// Times that somebody is asked.
+/// Number of attempts to ask a member.
 const MAX_ATTEMPTS: usize = 4;
 
 impl PeerExchange {
-    /// Tells a node that has started what is known of others' usage. One of another zone gets no answer in a large
-    /// deployment: there these counts come with this zone's sums, and would count twice.
+    /// Answers a node that has started with the usage recorded here. In a large deployment nodes of other
+    /// zones get no answer: they receive these counts in this zone's summaries, and would count them twice.
     pub(super) fn answer_usage(&self, question: &Envelope) {
         if self.is_direct_peer(question) {
             self.reply(question, Body::UsageKnown(self.recorded_usage()));
@@ -36,7 +36,7 @@
         UsageKnown { lives: lives.into_iter().map(encode_life).collect() }
     }
 
-    /// Asks the member that has lived longest for what it knows, until one answers.
+    /// Requests the recorded usage from the longest-running member, until one answers.
     pub(super) async fn recover_usage(self: Arc<Self>) {
         for _ in 0..MAX_ATTEMPTS {
             tokio::time::sleep(MEMBERSHIP_SETTLE_TIME).await;
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Of the members that tell this node their own usage, the one of the longest life. Incarnations begin with the time
-    /// of the start.
+    /// The longest-running of the members that report their own usage to this node. Incarnations start at the
+    /// start time.
     fn longest_running_peer(&self) -> Option<SocketAddr> {
         let view = self.members.load();
         let is_large_deployment = self.is_large_deployment();
@@ -63,7 +63,7 @@
 
     fn merge_recovered_usage(&self, known: UsageKnown) {
         let usage = &self.gateway.forwarder.usage;
-        // What was counted here before this life is what others know of it.
+        // Entries of other generations include this node's own usage before its restart.
         for entry in known.lives.into_iter().filter(|entry| entry.life != self.generation) {
             usage.merge(&NodeId::new(&entry.node), entry.life, heartbeat_wire::decode_usage(entry.usage));
         }
--- a/crates/beamwall-node/src/gateway/listing.rs
+++ b/crates/beamwall-node/src/gateway/listing.rs
@@ -1,11 +1,12 @@
-//! Reads the list of back ends from the store, page by page.
+//! Reads the list of back ends from the control store, page by page.
 //!
-//! The load that this answers: a whole fleet that starts at once beside a long list. If each node read all pages, the store
-//! would refuse most of the calls, and refused nodes would come back with the first page: 27 nodes beside 41 pages at 300
-//! calls a second did not know the list within 15 s, and do after 1.2 s now. So all nodes read the first pages, which is the
-//! whole list of a small deployment. The rest is read by those that watch for their zone; the others leave pauses, in which
-//! peers tell them the list. A page that is refused is asked for again, not the list. What was read serves callers until the
-//! whole is known.
+//! The reader is built for a whole fleet that starts at once with a long list. If each node read all pages,
+//! the store would reject most of the calls, and rejected nodes would start over with the first page: 27
+//! nodes reading 41 pages at 300 calls a second did not have the list within 15 s; with this scheme they have
+//! it after 1.2 s. All nodes read the first pages, which is the whole list of a small deployment. The rest is
+//! read by the nodes selected to watch the store for their zone; the others pause between pages, and receive
+//! the list from peers meanwhile. A rejected page is retried by itself, without restarting the list. The
+//! entries read so far serve callers until the list is complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,61 +25,65 @@
 use crate::gateway::unreadable_entries::UnreadableEntries;
 use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
-/// Pages that every node reads: 200 back ends at a store that gives 50 a page.
+/// Pages that every node reads: 200 back ends with a store that returns 50 a page.
 const PAGES_READ_BY_ALL: usize = 4;
-/// Pause before the next page once another node is known, until it is known who else has started.
+/// Pause before the next page once another node is known, so that the other nodes that have just started
+/// become known.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(400);
-/// Longest wait for another node: where all start at once on 0.12 of a core, most know the first one after 0.7 to 1.7 s.
+/// Longest wait for another node: when all start at once on 0.12 of a core, most know the first one after 0.7
+/// to 1.7 s.
 const PEER_WAIT_LIMIT: Duration = Duration::from_millis(2_000);
-/// Time between two looks for one.
+/// Time between two checks for another node.
 const PEER_POLL_PERIOD: Duration = Duration::from_millis(50);
-/// Pause between two pages of a node that does not watch for its zone, so that 300 of them ask for 600 pages a second at most.
+/// Pause between two pages on a node that does not watch for its zone, so that 300 such nodes request at most
+/// 600 pages a second.
 const PAGE_PAUSE: Duration = Duration::from_millis(500);
-/// Times that a page after the first is asked for.
+/// Attempts to read a page after the first one.
 const MAX_ATTEMPTS: u32 = 5;
-/// Longest pause after a page was refused, a random part of which is waited; it doubles with each further try.
+/// Upper bound of the random delay after a rejected page; it doubles with each further attempt.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why the list is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadPurpose {
-    /// No list is known here.
+    /// This node has no list yet.
     Initial,
-    /// The list held here is doubted or can't be followed on, so that it is no reason to leave the rest unread.
+    /// The current list may be stale, or its watch can't be resumed, so a list received from a peer does not
+    /// end the read early.
     Reread,
 }
 
-/// What a reading came to.
+/// Result of reading the list.
 #[derive(Debug)]
 pub enum ListRead {
-    /// The whole list was read.
+    /// The whole list was read from the store.
     Whole(DirectorySnapshot),
-    /// A peer told a list of this revision, at least as new as the one that was being read.
+    /// A peer sent a list of this revision, at least as new as the one that was being read.
     FromPeer(u64),
 }
 
-/// Reads the list.
+/// Reads the list of back ends.
 pub struct DirectoryReader {
-    /// The store.
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
-    /// The list as known here.
+    /// The list currently in use on this node.
     pub current: Arc<ArcSwap<Directory>>,
-    /// Takes what was read of the first list.
+    /// Receives the partial list during the initial read.
     pub directory_updates: ActorRef<DirectoryActor>,
-    /// Who watches.
+    /// Selects the nodes that watch the store.
     pub selector: NodeSelector,
-    /// Told when the store refuses a page.
+    /// Records the pages that the store rejected.
     pub status: Arc<StoreStatus>,
-    /// Told of entries that can't be read.
+    /// Records the entries that can't be parsed.
     pub unreadable: Arc<UnreadableEntries>,
 }
 
 impl DirectoryReader {
-    /// Reads all pages, or as many as it takes until a peer has told the list.
+    /// Reads all pages, or stops early once a peer has sent the list.
     pub async fn read(&self, purpose: ReadPurpose) -> Result<ListRead, ControlStoreError> {
         let first = self.store.backends(None).await?;
         self.unreadable.note(&first.unreadable);
-        // What changes between two pages is seen by the watch from the first page's revision.
+        // Changes between two pages are seen by the watch, which starts at the revision of the first page.
         let mut snapshot = DirectorySnapshot { revision: first.revision, backends: first.backends };
         let mut last = first.last;
         let mut pages = 1;
@@ -104,7 +109,8 @@
         Ok(ListRead::Whole(snapshot))
     }
 
-    /// Reads a list that may be seconds old; gives a number that is equal for lists of equal contents.
+    /// Reads a list that may be seconds old; returns its digest, which is equal for lists with equal
+    /// contents.
     pub async fn recent_digest(&self) -> Result<u64, ControlStoreError> {
         let mut backends = Vec::new();
         let mut after: Option<String> = None;
@@ -118,10 +124,10 @@
         }
     }
 
-    /// Lets callers be served by what was read so far, where no whole list is known.
+    /// Serves callers from the entries read so far while no whole list is available.
     async fn use_partial_list(&self, read: &DirectorySnapshot) {
         if !self.current.load().is_whole() {
-            // The actor ends only with the node.
+            // The actor stops only together with the node.
             let _ = self.directory_updates.tell(UseMeanwhile { read: read.backends.clone() }).await;
         }
     }
@@ -135,7 +141,8 @@
         }
     }
 
-    /// Waits until others are known: else each of a fleet that starts at once would take itself for the one that reads on.
+    /// Waits until other nodes are known: otherwise every node of a fleet that starts at once would select
+    /// itself to read on.
     async fn wait_for_membership(&self) {
         let until = Instant::now() + PEER_WAIT_LIMIT;
         while !self.selector.knows_other_nodes() && Instant::now() < until {
@@ -144,7 +151,7 @@
         tokio::time::sleep(MEMBERSHIP_SETTLE_TIME).await;
     }
 
-    /// Reads the page after an entry, in several tries where the store refuses it.
+    /// Reads the page after an entry, with several attempts when the store rejects the call.
     async fn page_after(&self, after: &str) -> Result<DirectoryPage, ControlStoreError> {
         let mut pause = FIRST_PAUSE;
         for _ in 1..MAX_ATTEMPTS {
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -1,8 +1,8 @@
 //! Assembly of one gateway node: the only place that knows all its parts.
 //!
-//! Two watches follow the store of decisions; the exchange tells peers what is in force here and
-//! learns from them what the store did not tell; callers are served from snapshots; duties that one
-//! node does for all run under a lease.
+//! Two watches track policy and back ends in the control store; the peer exchange sends what is in effect
+//! here to peers and fetches from them what the store did not deliver; callers are served from snapshots;
+//! duties that one node performs for all run under a lease.
 
 pub mod counter_deltas;
 pub mod directory_sync;
@@ -96,36 +96,37 @@
 use crate::metrics;
 use crate::shared::MembershipView;
 
-/// Longest time to open a connection to a back end.
+/// Timeout for opening a connection to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Part of the allowed retries for each request that each request earns. With what may be saved, nodes use nine
-/// tenths of them; the rest is a margin.
+/// Fraction of the allowed retries per request that each request earns. Together with the saved fraction,
+/// nodes use nine tenths of the allowed retries; the rest is a margin.
 const RETRY_RATIO_EARNED: f64 = 0.5;
-/// Part of the allowed retries for each request of the last window that may be saved.
+/// Fraction of the allowed retries per request of the last window that may be saved.
 const RETRY_RATIO_SAVED: f64 = 0.4;
-/// Part of the fixed extra retries that nodes use in all.
+/// Fraction of the fixed extra retries that all nodes together use.
 const RETRY_EXTRA_USED: f64 = 0.7;
-/// Part of the tolerated work beyond quotas that nodes use in all.
+/// Fraction of the tolerated work beyond quotas that all nodes together use.
 const QUOTA_SLACK_USED: f64 = 0.5;
-/// Part of the tolerated share beyond quotas that nodes use all the time. The rest covers what many nodes let pass at
-/// once before they are told: with half of it used, a fleet of 295 went 4 in 100 beyond what is tolerated.
+/// Fraction of the tolerated share beyond quotas that nodes use continuously. The rest covers what many nodes
+/// admit at once before usage reports reach them: with half of it used, a fleet of 295 nodes went 4 in 100
+/// beyond what is tolerated.
 const QUOTA_OVERAGE_USED: f64 = 0.05;
-/// The same that nodes which start use beside: all of them may start at once.
+/// Additional fraction that starting nodes use: all of them may start at once.
 const QUOTA_OVERAGE_USED_AT_START: f64 = 0.35;
 
-/// What the gateway meets outside: the ports' implementations.
+/// Implementations of the ports to the outside.
 pub struct Ports {
-    /// Heads of requests and answers.
+    /// Parses and writes the heads of requests and answers.
     pub dialect: Arc<dyn Dialect>,
-    /// The store of decisions.
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
-    /// The objects that leases and reports are kept in.
+    /// The objects that store leases and reports.
     pub objects: Arc<dyn VersionedObjects>,
-    /// Duty calls; absent where the deployment has none.
+    /// Calls made by duties; `None` where the deployment has none.
     pub duties: Option<Arc<dyn DutyPort>>,
-    /// Orders to move a service to another version; absent where they are not followed.
+    /// Rollout orders; `None` where rollouts are disabled.
     pub rollouts: Option<Arc<dyn RolloutStore>>,
-    /// The path at which the balancer asks for readiness.
+    /// Path of the balancer's readiness check.
     pub readiness_path: &'static str,
 }
 
@@ -248,7 +249,7 @@
         Ok(Self { readiness, exchange, settings, stopping, callers, tasks })
     }
 
-    /// Lets open requests end and stops.
+    /// Waits for open requests to finish, then stops.
     pub async fn drain(mut self) {
         let limit = self.settings.drain_limit;
         let node = self.settings.node.to_string();
@@ -256,7 +257,7 @@
         self.stop();
     }
 
-    /// Stops at once, as a kill would.
+    /// Stops at once, like a killed process.
     pub fn stop(&mut self) {
         self.callers.abort();
         for task in &self.tasks {
@@ -281,7 +282,7 @@
     serve(listener, handler, stop).await;
 }
 
-/// What the gateway's quarantine is made of beside what it forwards with.
+/// Parts of the quarantine besides the pool and the directory.
 struct QuarantineParts {
     book: Arc<QuarantineBook>,
     clock: Arc<FleetClock>,
@@ -293,7 +294,7 @@
     gateway.forwarder.quarantine.log_changes();
 }
 
-/// A number that rises with each start: the time in milliseconds.
+/// A number that grows with each start of the process: the start time in milliseconds.
 fn new_generation() -> u64 {
     since_1970_ms(SystemTime::now())
 }
@@ -346,7 +347,7 @@
     Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
 }
 
-/// A ratio in whole hundredths.
+/// Converts a ratio to whole percent.
 fn percent(ratio: f64) -> u32 {
     (ratio * 100.0).round() as u32
 }
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of the back ends that they observe.
+//! Exchange of observations of back ends between gateways.
 
 use std::time::Duration;
 
@@ -11,17 +11,18 @@
 use crate::gateway::exchange::PeerExchange;
 use crate::gateway::heartbeat_wire;
 
-/// Least time between two heartbeats that tell what was observed of services, for each peer told: about 200 bytes a
-/// service, so that they cost some 4 KB a second whatever the number of peers.
+/// Minimum time between two heartbeats that carry service statistics, per peer that receives them: with about
+/// 200 bytes a service, they cost some 4 KB a second whatever the number of peers.
 const REPORT_PERIOD_PER_PEER: Duration = Duration::from_millis(50);
-/// The same whatever the number of peers: a service is known within some seconds.
+/// Minimum time between them whatever the number of peers, so that a service is known within a few seconds.
 const MIN_REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Least time between two fits, however often heartbeats are sent: on 0.12 of a core a fit takes a millisecond.
+/// Minimum time between two fits, however often heartbeats are sent: on 0.12 of a core a fit takes a
+/// millisecond.
 const FIT_PERIOD: Duration = Duration::from_millis(500);
 
 impl PeerExchange {
-    /// Fits the models of services anew, when it is time.
+    /// Fits the service models again if the period has passed.
     pub(super) fn fit_models(&self) {
         if !self.model_fit_throttle.admit(FIT_PERIOD) {
             return;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// What this node observed, for its peers; of services only now and then.
+    /// Observations of this node, for its peers; service statistics are included only periodically.
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let slowness = heartbeat_wire::encode_slowness(models.own_slowness(Instant::now()));
@@ -46,7 +47,7 @@
         (heartbeat_wire::encode_models(reported), slowness)
     }
 
-    /// What the nodes of this zone observed, for other zones.
+    /// Observations of the nodes of this zone, for other zones.
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
@@ -54,7 +55,8 @@
         (heartbeat_wire::encode_models(models.sum_of(is_node)), slowness)
     }
 
-    /// Takes what somebody else observed. A heartbeat without sums leaves those told before.
+    /// Applies the observations of another node or zone. A heartbeat without service statistics leaves the
+    /// previous ones in place.
     pub(super) fn apply_observations(
         &self,
         reporter: &Reporter,
--- a/crates/beamwall-node/src/gateway/peer_placement.rs
+++ b/crates/beamwall-node/src/gateway/peer_placement.rs
@@ -1,4 +1,4 @@
-//! Asks the nodes that place model requests for all, and answers as one of them.
+//! Sends placement requests to the placement nodes, and answers those of peers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use crate::gateway::placement_router::{LocalNode, PlacementRouter, PlacementTarget};
 use crate::shared::MembershipView;
 
-/// Longest wait for a placement: a small part of the tightest objective.
+/// Timeout for a placement: a small part of the tightest latency objective.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Asks the nodes that place model requests.
+/// Sends placement requests to the placement nodes.
 pub struct PeerPlacement {
     envelope: Envelope,
     local: LocalNode,
@@ -34,7 +34,7 @@
 }
 
 impl PeerPlacement {
-    /// Asks among `members` over `network`.
+    /// Selects placement nodes among `members` and sends requests over `network`.
     pub fn new(
         settings: &GatewaySettings,
         network: Arc<PeerNetwork>,
@@ -80,9 +80,10 @@
                 self.lock().note_answer(&target.node);
                 PlacementAnswer::Chosen(decode_reply(&reply, target.node))
             }
-            // It found no engine, as a node that has just started, or did not answer in time.
+            // The node found no engine, for instance because it has just started, or did not answer in time.
             Ok(_) | Err(_) => {
-                // Its answer may lie unread where this process did not run.
+                // If this process was stalled meanwhile, the answer may have arrived unread, so the node is
+                // not blamed.
                 if running::stood_still() == stood_still {
                     self.note_miss(&target.node);
                 }
@@ -110,7 +111,7 @@
     }
 }
 
-/// The question of a peer.
+/// Decodes a placement request of a peer.
 pub(super) fn decode(request: PlacementRequest, envelope: &Envelope) -> PlacementQuestion {
     let parts = request.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens }).collect();
     PlacementQuestion {
@@ -128,7 +129,7 @@
     }
 }
 
-/// The answer to a peer.
+/// Encodes the answer to a placement request.
 pub(super) fn encode_reply(choice: Option<Choice>) -> PlacementReply {
     let Some(choice) = choice else { return PlacementReply::default() };
     PlacementReply {
@@ -152,7 +153,7 @@
         reading: Reading { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
         tokens_ahead: reply.tokens_ahead,
         expected_ms: reply.expected_ms,
-        // Earlier builds tell none.
+        // Earlier builds do not send the slowness.
         slowness: if reply.slowness > 0.0 { reply.slowness } else { 1.0 },
         open_requests: reply.open_requests,
         failure_share: reply.failure_share,
--- a/crates/beamwall-node/src/gateway/peer_restarts.rs
+++ b/crates/beamwall-node/src/gateway/peer_restarts.rs
@@ -1,7 +1,7 @@
-//! How the lives of peers ended: in order after a drain, or not.
+//! Detects how the previous processes of peers ended: after a drain, or abruptly.
 //!
-//! A gateway that ends without a word can't tell it itself, and on machines without a disk its next life does not know
-//! either. Peers see a new life follow one that had not said that it drains.
+//! A gateway that ends abruptly can't report it, and on machines without a disk its next process does not
+//! know of it either. Peers observe that a new generation follows one that had not announced that it drains.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,7 @@
 use beamwall_model::NodeId;
 use beamwall_peer::{Envelope, Member, MemberState};
 
-/// The last life of each peer that tells its own.
+/// The last generation of each peer that sends its generation.
 #[derive(Debug, Default)]
 pub struct PeerRestarts {
     last: Mutex<HashMap<NodeId, PeerRun>>,
@@ -25,7 +25,8 @@
     was_draining: bool,
 }
 
-/// The life of a peer that is heard for the first time, in the life `number`. Incarnations begin with the number of the life.
+/// The last known run of a peer whose first message arrives, sent in `generation`. Incarnations start at the
+/// generation.
 fn last_known_run(generation: u64, member: Option<Member>) -> PeerRun {
     let earlier = member.filter(|member| member.incarnation < generation);
     earlier.map_or(PeerRun { generation, was_draining: false }, |member| PeerRun {
@@ -35,13 +36,14 @@
 }
 
 impl PeerRestarts {
-    /// Peers' lives that ended without a drain since this node's start.
+    /// Runs of peers that ended without a drain since this node's start.
     pub fn ended_abruptly(&self) -> u64 {
         self.ended_abruptly.load(Ordering::Relaxed)
     }
 
-    /// Notes the life in which a peer sent a message, and tells how the one before it ended. Of a peer that is heard for the first
-    /// time, `member` gives what others have told: it may have ended before it said a word to this node.
+    /// Records the generation in which a peer sent a message, and logs how the run before it ended. For the
+    /// first message of a peer, `member` returns what others have reported of it: an earlier run may have
+    /// ended before it sent anything to this node.
     pub(super) fn note(&self, envelope: &Envelope, generation: u64, member: impl FnOnce() -> Option<Member>) {
         let peer = NodeId::new(&envelope.sender);
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/beamwall-node/src/gateway/peer_versions.rs
+++ b/crates/beamwall-node/src/gateway/peer_versions.rs
@@ -1,4 +1,4 @@
-//! Which peers hold something newer than this node does, and whether it is being asked for.
+//! Tracks which peers hold a newer version than this node, and whether it is being fetched.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,10 +7,10 @@
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
-/// Longest pause before the next peer is asked, where the last one was busy.
+/// Longest pause before asking the next peer after one was busy.
 const LONGEST_PAUSE: Duration = Duration::from_millis(50);
 
-/// What is known of the versions of one thing that peers hold.
+/// The versions of one resource that peers hold.
 #[derive(Debug, Default)]
 pub struct PeerVersions {
     state: Mutex<State>,
@@ -18,11 +18,11 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// The newest version that a peer told.
+    /// The newest version that a peer reported.
     newest: u64,
-    /// Peers that told it.
+    /// Peers that reported that version.
     holders: Vec<SocketAddr>,
-    /// When this node first heard of a version newer than its own; `None` while it holds the newest.
+    /// When this node first learned of a version newer than its own; `None` while it holds the newest.
     behind_since: Option<Instant>,
     is_fetching: bool,
 }
@@ -32,13 +32,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The newest version that a peer told, and for how long this node has lacked it.
+    /// The newest version that a peer reported, and for how long this node has lacked it.
     pub fn newest_reported(&self) -> (u64, Duration) {
         let state = self.lock();
         (state.newest, state.behind_since.map_or(Duration::ZERO, |since| since.elapsed()))
     }
 
-    /// Notes the version that a peer holds; returns whether somebody must start to ask for it.
+    /// Records the version that a peer holds; returns whether the caller must start to fetch it.
     pub(super) fn note(&self, peer: SocketAddr, version: u64, held: u64) -> bool {
         let mut state = self.lock();
         if version <= held || version < state.newest {
@@ -55,18 +55,20 @@
         !std::mem::replace(&mut state.is_fetching, true)
     }
 
-    /// A peer that holds the newest version; `None` when this node holds it too, or no such peer is known.
+    /// Returns a peer that holds the newest version; `None` if this node holds it too, or no such peer is
+    /// known.
     pub(super) fn pick_holder(&self, held: u64) -> Option<SocketAddr> {
         let state = self.lock();
         if state.newest <= held { None } else { state.holders.choose(&mut rand::rng()).copied() }
     }
 
-    /// Forgets that a peer holds the newest version: it did not give it.
+    /// Removes a peer from the holders of the newest version because it did not deliver it.
     pub(super) fn remove_holder(&self, peer: SocketAddr) {
         self.lock().holders.retain(|holder| *holder != peer);
     }
 
-    /// Ends asking. A node that still lacks the version starts again when it next hears of it.
+    /// Marks the fetch as finished. A node that still lacks the version starts again at the next report of
+    /// it.
     pub(super) fn finish_fetch(&self, held: u64) {
         let mut state = self.lock();
         state.is_fetching = false;
@@ -76,12 +78,12 @@
     }
 }
 
-/// Waits until a peer that was busy may be asked again, or another one.
+/// Waits before asking again after a busy answer; the next request may go to another peer.
 pub(super) async fn pause_for_busy(busy_for_ms: u32) {
     tokio::time::sleep(Duration::from_millis(u64::from(busy_for_ms)).min(LONGEST_PAUSE)).await;
 }
 
-/// Milliseconds for which a peer is told to be busy: above zero.
+/// Converts the wait of a busy answer to milliseconds; the result is above zero, since zero means not busy.
 pub(super) fn to_busy_ms(wait: Duration) -> u32 {
     u32::try_from(wait.as_millis()).unwrap_or(u32::MAX).saturating_add(1)
 }
--- a/crates/beamwall-node/src/gateway/placement_router.rs
+++ b/crates/beamwall-node/src/gateway/placement_router.rs
@@ -1,12 +1,13 @@
-//! Which node places in each group of engines.
+//! Selects the placement node of each group of engines.
 //!
-//! It is found by rendezvous hash among all nodes that live, weighted by their links, so no election is needed: nodes
-//! that see different members ask different ones for a while, and each of those places what it is asked for. One that
-//! does not answer in time is passed over at once, by a node of the asker's own zone: when a zone is cut off, its nodes
-//! agree on one of theirs after the first miss of each.
+//! The placement node is found by rendezvous hash among all live nodes, weighted by their links, so no
+//! election is needed: nodes with different membership views ask different placement nodes for a while, and
+//! each of those places the requests that it receives. A placement node that does not answer in time is
+//! replaced at once by a node of the sender's own zone: when a zone is cut off, its nodes agree on one of
+//! their own after the first missed answer of each.
 //!
-//! A new placing node knows nothing of what the one before placed. That is worth little: prompts are read within a second,
-//! and beginnings that engines keep are found again by the hash that all nodes share.
+//! A new placement node knows nothing of its predecessor's placements. This costs little: prompts are
+//! prefilled within a second, and cached prefixes are found again by the hash that all nodes share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,14 +20,14 @@
 
 use crate::shared::MembershipView;
 
-/// The duty by whose hash the nodes are found.
+/// Key of the rendezvous hash for placement.
 const HASH_KEY: &[u8] = b"placement";
-/// Time after a missing answer in which a node is not asked. It doubles with each further miss.
+/// Time for which a node is not asked after a missed answer. It doubles with each further miss.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest such time: about as long as membership takes to find a node dead.
+/// Longest such time: about as long as membership takes to declare a node dead.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
 
-/// The node that asks.
+/// The node that sends the placement request.
 #[derive(Debug, Clone)]
 pub struct LocalNode {
     /// Its name.
@@ -37,10 +38,10 @@
     pub link_mbps: u32,
 }
 
-/// Who places in a group.
+/// The node that places the requests of a group.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementTarget {
-    /// The node that asks.
+    /// The sending node itself.
     Local,
     /// Another node.
     Peer(Box<Member>),
@@ -52,19 +53,19 @@
     until: Instant,
 }
 
-/// The placing nodes as one node sees them.
+/// The placement nodes as seen by one node.
 #[derive(Debug, Default)]
 pub struct PlacementRouter {
-    /// The members among whom `first` were found.
+    /// The membership view from which `primary` was computed.
     view: Option<Arc<MembershipView>>,
-    /// The node that all ask, by group; `None`: the asker.
+    /// The placement node of each group; `None`: the sending node.
     primary: HashMap<EngineGroup, Option<Member>>,
-    /// Nodes that did not answer.
+    /// Nodes that missed answers.
     paused: HashMap<NodeId, Pause>,
 }
 
 impl PlacementRouter {
-    /// The node that all ask for a choice in `group`, as long as it answers; `None`: the asker.
+    /// Returns the placement node of `group` that is used as long as it answers; `None`: the sending node.
     pub fn primary(
         &mut self,
         local: &LocalNode,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// The node to ask for a choice in `group`.
+    /// Returns the node to which a placement request for `group` is sent.
     pub fn select_target(
         &mut self,
         local: &LocalNode,
@@ -104,7 +105,8 @@
         chosen.map_or(PlacementTarget::Local, |member| PlacementTarget::Peer(Box::new(member)))
     }
 
-    /// Notes that a node did not answer in time; gives the time for which it is not asked, where that is new.
+    /// Records that a node did not answer in time; returns how long it is not asked, or `None` if it was
+    /// paused already.
     pub fn note_miss(&mut self, node: &NodeId, now: Instant) -> Option<Duration> {
         if is_paused(&self.paused, node, now) {
             return None;
@@ -115,7 +117,7 @@
         Some(length)
     }
 
-    /// Notes that a node answered.
+    /// Records that a node answered.
     pub fn note_answer(&mut self, node: &NodeId) {
         self.paused.remove(node);
     }
@@ -125,14 +127,14 @@
     paused.get(node).is_some_and(|pause| now < pause.until)
 }
 
-/// Whether a member may place for all. Of another zone's only membership tells; one that is not ready says so when
-/// it is asked.
+/// Whether a member may be a placement node. For other zones only the state from membership is known; a node
+/// there that is not ready says so when it is asked.
 fn may_place(member: &Member, local: &LocalNode) -> bool {
     if member.zone == local.zone { member.is_usable() } else { member.state == MemberState::Alive }
 }
 
-/// Of these nodes and the asker the one that places in `group`; `None`: the asker. One with a fast network link
-/// is chosen more often: all questions and answers pass over it.
+/// Selects the placement node of `group` among `nodes` and the sending node; `None`: the sending node. Nodes
+/// with a fast network link are selected more often, because all requests and answers pass over it.
 fn choose_by_hash<'a>(
     local: &LocalNode,
     nodes: impl Iterator<Item = &'a Member>,
--- a/crates/beamwall-node/src/gateway/policy_sync.rs
+++ b/crates/beamwall-node/src/gateway/policy_sync.rs
@@ -1,9 +1,9 @@
-//! How a newer version of the policy reaches the nodes that the store did not tell.
+//! Distribution of newer policy versions to nodes that did not receive them from the control store.
 //!
-//! A node that hears of a newer version asks one of those that hold it what changed since its own. Versions
-//! that were overtaken meanwhile are skipped. A large answer, such as the whole policy for a node that has just
-//! started, takes the link of the node that gives it for a while: until then it sends others away, which by
-//! then find a further node that holds the version.
+//! A node that learns of a newer version requests the changes since its own version from one of the peers
+//! that hold it. Versions superseded meanwhile are skipped. A large answer, such as the whole policy for a
+//! node that has just started, occupies the sender's link for a while: until then the sender turns other
+//! requesters away, which by then find a further holder.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,13 +21,14 @@
 use crate::gateway::peer_versions::{PeerVersions, pause_for_busy, to_busy_ms};
 use crate::gateway::watches::{POLICY, WATCHERS_PER_ZONE};
 
-/// Time after which a node that lacks a version that others hold says so: an eighth of the 8 s within which an
-/// accepted edit must be in force everywhere.
+/// Time after which a node that lacks a version held by others logs it: an eighth of the 8 s within which an
+/// accepted edit must be in effect everywhere.
 const BEHIND_AFTER: Duration = Duration::from_secs(1);
-/// Encoded changes that are kept: nodes that ask within a moment mostly hold the same few versions.
+/// Size of the cache of encoded changes: nodes that ask within a short time mostly hold the same few
+/// versions.
 const ENCODED_CACHE_SIZE: usize = 8;
 
-/// One encoded change, and what it was made for.
+/// An encoded change and the request that it answers.
 #[derive(Debug)]
 struct EncodedChange {
     request: PolicyRequest,
@@ -35,7 +36,7 @@
     change: Vec<u8>,
 }
 
-/// The versions of the policy that are told to peers and heard from them.
+/// Policy versions sent to peers and reported by them.
 #[derive(Debug)]
 pub struct PolicyDistribution {
     archive: Arc<PolicyArchive>,
@@ -45,17 +46,17 @@
 }
 
 impl PolicyDistribution {
-    /// Tells from `archive`, at the pace of `transfers`.
+    /// Sends versions of `archive`, paced by `transfers`.
     pub fn new(archive: Arc<PolicyArchive>, transfers: Arc<TransferPacer>) -> Self {
         Self { archive, transfers, peer_versions: PeerVersions::default(), encoded: Mutex::default() }
     }
 
-    /// The newest version that a peer told, and for how long this node has lacked it.
+    /// The newest version that a peer reported, and for how long this node has lacked it.
     pub fn newest_reported(&self) -> (u64, Duration) {
         self.peer_versions.newest_reported()
     }
 
-    /// The answer to a peer that asks what changed.
+    /// Answers a peer that requests the changes since its version.
     pub(super) fn answer(&self, request: PolicyRequest, now: Instant) -> PolicyAnswer {
         let Some(change) = self.encoded_change(request) else { return PolicyAnswer::default() };
         match self.transfers.admit(change.len(), now) {
@@ -88,7 +89,7 @@
 }
 
 impl PeerExchange {
-    /// Takes the version that a peer tells, and asks for it where this node lacks it.
+    /// Records the version that a peer holds, and fetches it if this node lacks it.
     pub(super) fn note_policy_version(self: &Arc<Self>, peer: SocketAddr, version: u64) {
         if self.policies.peer_versions.note(peer, version, self.policy_version()) {
             tokio::spawn(self.clone().fetch_policy());
@@ -99,7 +100,7 @@
         self.gateway.policy.load().version()
     }
 
-    /// Asks peers until this node holds the newest version told, or none that holds it answers.
+    /// Requests changes from peers until this node holds the newest reported version, or no holder answers.
     async fn fetch_policy(self: Arc<Self>) {
         if self.selector.is_selected(POLICY, WATCHERS_PER_ZONE) {
             tokio::time::sleep(WATCH_HEAD_START).await;
@@ -118,7 +119,7 @@
         self.policies.peer_versions.finish_fetch(self.policy_version());
     }
 
-    /// Says that this node has lacked a version for long; returns whether it has.
+    /// Logs that this node has lacked a version for too long; returns whether it did.
     fn log_if_behind(&self) -> bool {
         let (newest_peer_version, behind) = self.policies.newest_reported();
         let held = self.policy_version();
@@ -168,14 +169,14 @@
     }
 }
 
-/// What came of asking one peer.
+/// Result of a request to one peer.
 enum FetchResult {
-    /// What changed is in force.
+    /// The change is in effect.
     Applied,
-    /// What it told can't be applied to the version held.
+    /// The change can't be applied to the version held here.
     Unusable,
-    /// It answers others, for so many milliseconds.
+    /// The peer is busy with other transfers for this many milliseconds.
     Busy(u32),
-    /// It gave no answer, or holds no policy.
+    /// The peer did not answer, or holds no policy.
     Unanswered,
 }
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -1,9 +1,10 @@
-//! How evidence against requests reaches all gateways.
+//! Distribution of the evidence against requests to all gateways.
 //!
-//! Who sees the end of a back end tells all nodes that it sends heartbeats to, and in a large deployment the relays of the other
-//! zones, which pass it on to their own: an end with 20 open requests takes some 400 bytes. Heartbeats and sums of
-//! zones carry a digest of all that is known. Who hears another one asks for the whole, and so do nodes that have just started and
-//! those that were cut off.
+//! A node that observes the termination of a back end sends it to all its heartbeat targets, and in a large
+//! deployment to the relays of the other zones, which forward it within their zones: a termination with 20
+//! open requests takes about 400 bytes. Heartbeats and zone summaries carry a digest of all evidence. A node
+//! that receives a different digest requests all evidence, and so do nodes that have just started or were cut
+//! off.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +17,12 @@
 use crate::gateway::exchange::PeerExchange;
 use crate::gateway::quarantine_wire::{decode, encode};
 
-/// Least time between two questions for all that a peer knows: while news is on its way, digests differ for some milliseconds.
+/// Minimum time between two requests for all evidence of a peer: while evidence is in transit, digests differ
+/// for some milliseconds.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl PeerExchange {
-    /// Tells what this node saw, each time that it saw something, until the task is ended.
+    /// Sends new evidence of this node as it is recorded, until the task is aborted.
     pub async fn broadcast_evidence(self: Arc<Self>) {
         let quarantine = self.gateway.forwarder.quarantine.clone();
         loop {
@@ -35,12 +37,12 @@
         }
     }
 
-    /// The digest of what is known of requests under which back ends end; 0 for nothing.
+    /// Digest of the evidence held here; 0 if there is none.
     pub(super) fn quarantine_digest(&self) -> u64 {
         self.gateway.forwarder.quarantine.book.digest()
     }
 
-    /// Takes the digest of what a peer knows, and asks for it where it is another.
+    /// Compares a peer's digest with the one of this node, and requests the peer's evidence if they differ.
     pub(super) fn compare_quarantine_digest(&self, envelope: &Envelope, digest: u64) {
         if digest == 0
             || digest == self.quarantine_digest()
@@ -51,7 +53,7 @@
         self.reply(envelope, Body::QuarantineRequest(QuarantineRequest {}));
     }
 
-    /// Tells a peer all that is known here, as soon as the link has room for it: until then its next question comes.
+    /// Sends all evidence to a peer if the link has room for it; otherwise the peer asks again later.
     pub(super) fn send_all_evidence(&self, envelope: &Envelope) {
         let whole = encode(&self.gateway.forwarder.quarantine.book.whole());
         if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Takes evidence from a peer; a relay passes on what comes from another zone.
+    /// Merges evidence from a peer; a relay forwards evidence from other zones.
     pub(super) fn handle_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
         let new = self.gateway.forwarder.quarantine.hear(decode(news));
         if new.is_empty() || !self.is_large_deployment() || envelope.zone == self.zone.as_str() {
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -1,11 +1,11 @@
-//! Evidence against requests in the form of messages.
+//! Conversion of evidence against requests to and from messages.
 
 use beamwall_model::BackendId;
 use beamwall_peer::quarantine_message::{QuarantineNews, ToldCompletion, ToldEnding, ToldTrial};
 use beamwall_quarantine::fingerprint::FINGERPRINT_BYTES;
 use beamwall_quarantine::{Completion, Ending, Evidence, Fingerprint, Trial};
 
-/// Evidence as told.
+/// Encodes evidence.
 pub fn encode(evidence: &Evidence) -> QuarantineNews {
     let ending = |ending: &Ending| ToldEnding {
         backend: ending.backend.to_string(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Evidence as heard; what names no request is passed over.
+/// Decodes evidence; entries without a valid fingerprint are skipped.
 pub fn decode(news: &QuarantineNews) -> Evidence {
     let ending = |wire_entry: &ToldEnding| Ending {
         backend: BackendId::new(&wire_entry.backend),
--- a/crates/beamwall-node/src/gateway/readiness.rs
+++ b/crates/beamwall-node/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the node takes callers, and the pages for the balancer and for metrics.
+//! Readiness of the node, and the HTTP pages for the load balancer and for metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,10 +16,9 @@
 use crate::gateway::store_status::StoreStatus;
 use crate::gateway::watches::{BACKENDS, POLICY};
 
-/// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
 
-/// Whether the node takes callers.
+/// Decides whether the node accepts callers.
 pub struct Readiness {
     policy: Arc<ArcSwap<PolicyIndex>>,
     directory: Arc<ArcSwap<Directory>>,
@@ -28,7 +27,7 @@
 }
 
 impl Readiness {
-    /// Not ready until a policy and back ends are known.
+    /// Not ready until a policy and a list of back ends are known.
     pub fn new(
         policy: Arc<ArcSwap<PolicyIndex>>,
         directory: Arc<ArcSwap<Directory>>,
@@ -37,36 +36,36 @@
         Self { policy, directory, status, draining: AtomicBool::new(false) }
     }
 
-    /// Whether the node takes callers. What peers told suffices only where the store failed.
+    /// Whether the node accepts callers. State received from peers is sufficient only if the store failed.
     pub fn is_ready(&self) -> bool {
         let knows = self.policy.load().version() > 0 && self.directory.load().is_whole();
         knows && self.status.has_settled(&[POLICY, BACKENDS]) && !self.is_draining()
     }
 
-    /// Whether the node is stopping.
+    /// Whether the node is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Starts draining; returns false when it had begun before.
+    /// Starts draining; returns false if it had already started.
     pub fn begin_draining(&self) -> bool {
         !self.draining.swap(true, Ordering::Relaxed)
     }
 }
 
-/// Answers the balancer and whoever reads metrics.
+/// Serves readiness checks and metrics.
 pub struct StatusHandler {
-    /// Whether the node takes callers.
+    /// Readiness of this node.
     pub readiness: Arc<Readiness>,
     /// All metrics.
     pub registry: Registry,
-    /// Gauges to be set before metrics are read.
+    /// Gauges that are refreshed before each scrape.
     pub gauges: GatewayGauges,
-    /// What the gauges read.
+    /// Source of the gauges.
     pub gateway: Arc<Gateway>,
-    /// What the gauges read.
+    /// Source of the gauges.
     pub exchange: Arc<PeerExchange>,
-    /// Path of the balancer's question.
+    /// Path of the balancer's readiness check.
     pub readiness_path: &'static str,
 }
 
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -1,4 +1,4 @@
-//! Rollouts in the form of messages.
+//! Conversion of rollouts to and from messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     }
 }
 
-/// What is told of rollouts; `None` where there are none.
+/// Encodes the rollouts; `None` if there are none.
 pub fn encode(
     orders: Vec<OrderNews>,
     stages: Vec<StageNews>,
@@ -98,7 +98,7 @@
     counts.iter().map(row).collect()
 }
 
-/// The sums that builds read which do not tell the old version's back ends apart.
+/// Sums by route for builds that do not distinguish the back ends of the old version.
 fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<ToldAnswers> {
     let mut sums: BTreeMap<&str, AnswerCounts> = BTreeMap::new();
     for ((route, _), counts) in counts {
@@ -113,7 +113,7 @@
     sums.into_iter().map(row).collect()
 }
 
-/// Orders as heard.
+/// Decodes orders.
 pub fn decode_orders(news: &RolloutNews) -> Vec<OrderNews> {
     let decode = |wire_entry: &ToldOrder| {
         Some(OrderNews {
@@ -130,7 +130,7 @@
     news.orders.iter().filter_map(decode).collect()
 }
 
-/// Stages as heard.
+/// Decodes stages.
 pub fn decode_stages(news: &RolloutNews) -> Vec<StageNews> {
     let decode = |wire_entry: &ToldStage| {
         Some(StageNews {
@@ -147,8 +147,8 @@
     news.stages.iter().filter_map(decode).collect()
 }
 
-/// What others counted. Builds that do not tell the old version's back ends apart tell their sums: these stand as those of one
-/// back end without a name.
+/// Decodes evidence. Builds that do not distinguish the back ends of the old version send sums by route,
+/// which are counted as one back end with an empty name.
 pub fn decode_evidence(news: &RolloutNews) -> Vec<(OrderId, Evidence)> {
     let decode = |wire_entry: &ToldEvidence| {
         let (sums, of_new): (Vec<&ToldAnswers>, Vec<&ToldAnswers>) =
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -1,5 +1,6 @@
-//! How gateways know of orders to move a service to another version: the nodes that watch the store for their zone read them,
-//! and heartbeats tell all others the orders, how far they have come and what was counted.
+//! Distribution of rollout orders (moves of a service to another version): the nodes selected to watch the
+//! store for their zone read the orders, and heartbeats carry the orders, their progress and the evidence to
+//! all other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +17,21 @@
 use crate::gateway::rollout_wire;
 use crate::gateway::watches::WatchedResource;
 
-/// Longest wait of one watch call: orders are rare, and each call has its price.
+/// Longest wait of one watch call: orders are rare, and each call to the store has a cost.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// Time between two cheaper readings: orders are rare, and take longer than this.
+/// Time between two verifications: orders are rare, and take longer than this.
 const VERIFY_PERIOD: Duration = Duration::from_secs(10);
 
-/// Time before a new version takes all requests from which nodes tell at each news what they counted.
+/// Time before a new version receives all requests from which each stage update triggers an immediate
+/// heartbeat with the evidence.
 const IMMEDIATE_REPORT_WINDOW: Duration = Duration::from_millis(500);
 
-/// The orders in the store.
+/// Rollout orders in the store.
 pub struct WatchedOrders {
-    /// The store.
+    /// The control store.
     pub store: Arc<dyn RolloutStore>,
-    /// What is known of orders; its owner forwards requests by it.
+    /// Owns the rollouts by which requests are forwarded.
     pub exchange: Arc<PeerExchange>,
 }
 
@@ -63,7 +65,7 @@
 }
 
 impl WatchedOrders {
-    /// Takes the orders as listed; returns whether anything is new.
+    /// Applies the list of orders from the store; returns whether anything changed.
     fn apply_list(&self, listed: ListedOrders) -> bool {
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
@@ -90,7 +92,7 @@
     merge_order_update(book, order_update)
 }
 
-/// Takes an order; what it says anew is logged.
+/// Applies an order and logs it if it changed.
 fn merge_order_update(book: &RolloutBook, order_update: OrderNews) -> bool {
     let event = RolloutOrdered {
         service: order_update.order.id.service.to_string(),
@@ -107,36 +109,36 @@
 }
 
 impl PeerExchange {
-    /// The orders as this node knows them.
+    /// The orders known to this node.
     pub fn rollouts(&self) -> &RolloutBook {
         &self.gateway.forwarder.rollouts
     }
 
-    /// What this node knows of rollouts, with what it counted itself.
+    /// Orders, stages and the evidence counted by this node.
     pub(super) fn node_rollout_news(&self) -> Option<RolloutNews> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.own_evidence())
     }
 
-    /// The same for other zones, with what all nodes of this one counted.
+    /// Orders, stages and the evidence counted by all nodes of this zone, for other zones.
     pub(super) fn zone_rollout_news(&self) -> Option<RolloutNews> {
         let (book, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(book.orders(now), book.stages(now), book.evidence_of_nodes())
     }
 
-    /// Takes what a node tells of rollouts and counted itself.
+    /// Applies the rollouts and the evidence reported by a node.
     pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, news: &RolloutNews) {
         self.apply_rollout_news(news);
         self.rollouts().hear_node(node, generation, &rollout_wire::decode_evidence(news));
     }
 
-    /// Takes what a relay tells of rollouts and its zone counted.
+    /// Applies the rollouts reported by a relay and the evidence of its zone.
     pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, news: &RolloutNews) {
         self.apply_rollout_news(news);
         self.rollouts().hear_zone(zone, &rollout_wire::decode_evidence(news));
     }
 
-    /// Takes orders and stages; news of an order goes on at once.
+    /// Applies orders and stages; a changed order triggers a heartbeat at once.
     fn apply_rollout_news(&self, news: &RolloutNews) {
         let book = self.rollouts();
         let mut has_changed = false;
@@ -145,7 +147,7 @@
         }
         for stage in rollout_wire::decode_stages(news) {
             let is_new = book.hear_stage(&stage, beamwall_clock::now());
-            // While the new version takes all, what it does must be known at once.
+            // When the new version takes all requests, its evidence must reach other nodes without delay.
             has_changed |=
                 is_new && stage.stage.takes_all_in.is_some_and(|left| left <= IMMEDIATE_REPORT_WINDOW);
         }
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -1,4 +1,4 @@
-//! Among how many nodes quotas and retry budgets are divided.
+//! Number of nodes among which quotas and retry budgets are divided.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 
 use crate::gateway::exchange::PeerExchange;
 
-/// Silence, in halves of the longest time between two heartbeats, after which a peer may be cut off. What
-/// both sides of a cut let pass before they miss each other must stay within what is tolerated.
+/// Silence, in halves of the longest heartbeat period, after which a peer may be partitioned. The work that
+/// both sides of a partition admit before they detect it must stay within the tolerated overage.
 const SILENCE_HALF_PERIODS: u32 = 3;
-/// Time for which a dead member keeps its part of quotas.
+/// Time for which a dead member keeps its share of quotas.
 const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(20);
 /// Time after the start until all members are known.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_secs(3);
 
 impl PeerExchange {
-    /// Tells the quotas and retry budgets who shares them.
+    /// Divides the quotas and retry budgets among the current nodes.
     pub(super) fn share_limits(&self) {
         let known = self.nodes_sharing_limits();
         let close = self.direct_nodes_heard();
@@ -36,7 +36,7 @@
         self.gateway.forwarder.retries.divide_among(known);
     }
 
-    /// Tells the choice of back ends the zones of which no node is heard.
+    /// Passes the zones from which no node is heard to the choice of back ends.
     pub(super) fn note_silent_zones(&self) {
         let silent = if self.is_large_deployment() { self.zones.silent() } else { self.silent_zones() };
         let knowledge = &self.gateway.forwarder.knowledge;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Other zones with nodes that ought to be heard and are not.
+    /// Returns the other zones whose nodes are expected to be alive but are all silent.
     fn silent_zones(&self) -> HashSet<ZoneName> {
         let now = Instant::now();
         let silence_limit = self.silence_limit();
@@ -58,23 +58,23 @@
         silent.into_iter().map(|member| &member.zone).filter(|zone| !heard.contains(zone)).cloned().collect()
     }
 
-    /// Silence after which a peer may be cut off.
+    /// Silence after which a peer may be partitioned.
     fn silence_limit(&self) -> Duration {
         self.heartbeat_timing().0 * SILENCE_HALF_PERIODS / 2
     }
 
-    /// Nodes that may serve callers. Silent members are among them, because they may be cut off, until they
-    /// have been dead for long; members that left are not.
+    /// Nodes that may be serving callers. Silent members count until they have been dead for a while, because
+    /// they may only be partitioned; members that left do not count.
     fn nodes_sharing_limits(&self) -> usize {
         let now = Instant::now();
         let known =
             self.members.load().members.iter().filter(|member| may_still_serve(member, now)).count() + 1;
-        // A node that has just started does not know everyone yet.
+        // A node that has just started does not know all members yet.
         if self.started.elapsed() < MEMBERSHIP_SETTLE_TIME { known.max(self.expected_nodes) } else { known }
     }
 
-    /// Nodes that tell this one their own work and were heard a moment ago, this one included: all in a
-    /// small deployment, those of the zone in a large one.
+    /// Nodes that report their own work to this one and were heard recently, this one included: all nodes in
+    /// a small deployment, those of the zone in a large one.
     pub(super) fn direct_nodes_heard(&self) -> usize {
         let now = Instant::now();
         let silence_limit = self.silence_limit();
@@ -90,7 +90,7 @@
     member.heard.is_some_and(|heard| now.duration_since(heard) < within)
 }
 
-/// Whether a member may still serve callers.
+/// Whether a member may still be serving callers.
 fn may_still_serve(member: &Member, now: Instant) -> bool {
     match member.state {
         MemberState::Left => false,
--- a/crates/beamwall-node/src/gateway/stall_monitor.rs
+++ b/crates/beamwall-node/src/gateway/stall_monitor.rs
@@ -1,6 +1,8 @@
-//! Notices that this process did not run for a while: it was stopped, got no processor, or a step of its work took that long.
+//! Detects that this process did not run for a while: it was stopped, got no CPU time, or a synchronous step
+//! blocked it.
 //!
-//! What counts against others leaves that time out by itself (`beamwall_clock::running`). Here the node tells of it.
+//! Timeouts that this process holds against peers and back ends exclude that time on their own
+//! (`beamwall_clock::running`). This module records and logs it.
 
 use std::time::Duration;
 
@@ -11,12 +13,12 @@
 
 use crate::gateway::suspension::SuspensionMonitor;
 
-/// Lateness of the process's timers that is worth a line in the log.
+/// Timer delay from which a stall is logged.
 const LOG_THRESHOLD: Duration = Duration::from_millis(250);
-/// Upper bounds of the buckets of lateness, in seconds.
+/// Upper bounds of the histogram's buckets, in seconds.
 const LATENESS_BUCKETS: &[f64] = &[0.002, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0];
 
-/// How late the timers of this process are.
+/// Records how late the timers of this process fire.
 pub struct StallMonitor {
     lateness: Histogram,
 }
@@ -31,7 +33,7 @@
         Ok(Self { lateness })
     }
 
-    /// Watches this process and its machine until the task is ended.
+    /// Watches this process for stalls and its machine for suspensions until the task is aborted.
     pub async fn watch(self, mut suspensions: SuspensionMonitor) {
         running::watch(move |late| {
             self.note(late);
--- a/crates/beamwall-node/src/gateway/store_status.rs
+++ b/crates/beamwall-node/src/gateway/store_status.rs
@@ -1,4 +1,4 @@
-//! Whether the store of decisions answers this node.
+//! Availability of the control store, as seen by this node.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,10 +10,10 @@
 use prometheus::{IntCounterVec, Opts, Registry};
 use tokio::time::Instant;
 
-/// Failed calls in a row after which the store counts as lost: single watches may be cut.
+/// Consecutive failed calls after which the store counts as lost: a single watch may be cut.
 const LOST_AFTER_FAILURES: u32 = 2;
 
-/// What the calls about one subject came to.
+/// Outcome of the calls for one subject.
 #[derive(Debug, Default)]
 struct Subject {
     has_answered: bool,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whether the store of decisions answers this node.
+/// Availability of the control store.
 #[derive(Debug)]
 pub struct StoreStatus {
     calls: IntCounterVec,
@@ -38,7 +38,7 @@
 }
 
 impl StoreStatus {
-    /// A store that has not been called yet; its calls are counted among the metrics.
+    /// Starts without any calls made; registers the counter of calls.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let name =
             Opts::new("beamwall_gateway_store_calls_total", "calls to the store by subject and outcome");
@@ -51,7 +51,7 @@
         self.subjects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes an answer to a call about `what`.
+    /// Records a successful call for `subject_name`.
     pub fn note_answer(&self, subject_name: &str) {
         self.calls.with_label_values(&[subject_name, "answered"]).inc();
         let mut subjects = self.lock();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notes a call about `what` that failed.
+    /// Records a failed call for `subject_name`.
     pub fn note_failure(&self, subject_name: &str, reason: &str) {
         self.calls.with_label_values(&[subject_name, "failed"]).inc();
         self.has_failed.store(true, Ordering::Relaxed);
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Whether the store is lost to this node, or was `ago` at most.
+    /// Whether the store is lost for `subject_name`, or came back no longer than `ago` before.
     pub fn was_unavailable(&self, subject_name: &str, ago: Duration) -> bool {
         let subjects = self.lock();
         let Some(subject) = subjects.get(subject_name) else { return false };
         subject.is_lost() || subject.regained.is_some_and(|at| at.elapsed() <= ago)
     }
 
-    /// Whether what is known here is the newest that can be had: the store has told all `subjects`, or
-    /// it has failed, and then what peers tell is as good as it gets.
+    /// Whether the state of this node is the newest available: the store has answered for all `subjects`, or
+    /// it has failed, and the state received from peers is the best that can be had.
     pub fn has_settled(&self, subjects: &[&str]) -> bool {
         let known = self.lock();
         let has_answered = |subject: &&str| known.get(*subject).is_some_and(|known| known.has_answered);
--- a/crates/beamwall-node/src/gateway/stored_models.rs
+++ b/crates/beamwall-node/src/gateway/stored_models.rs
@@ -1,5 +1,5 @@
-//! What was observed of services, kept in the store: when all gateways are killed at once, the next ones need not
-//! learn it anew under the load that has gathered meanwhile.
+//! Service statistics stored in the control store: when all gateways are killed at once, their successors
+//! need not learn them again under the load that has accumulated meanwhile.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,33 +16,33 @@
 
 use crate::gateway::stored_objects::read_at_start;
 
-/// The object.
+/// Key of the object.
 const KEY: &str = "reports/engine-models";
-/// Time between two writes: engines seldom change, and each call to the store has its price.
+/// Time between two writes: engines seldom change, and each call to the store has a cost.
 const WRITE_PERIOD: Duration = Duration::from_secs(10);
-/// Samples as which what is recalled counts: as many as tell an engine's speed, so that what is observed from then on
-/// soon outweighs it.
+/// Number of samples that restored statistics count as: enough to determine an engine's speed, and few enough
+/// that new observations soon outweigh them.
 const RESTORED_SAMPLES: f64 = 200.0;
 
-/// The sums of each service, as [`ServiceStatistics::to_numbers`] lists them.
+/// The sums of each service, as listed by [`ServiceStatistics::to_numbers`].
 type StoredModels = BTreeMap<String, Vec<f64>>;
 
-/// Keeps what was observed; run by the node that holds the lease on duties.
+/// Writes the statistics to the store; used by the node that holds the duties lease.
 pub(super) struct ModelStorage {
     gateway: Arc<Gateway>,
     objects: Arc<dyn VersionedObjects>,
-    /// Version of the object, once it was read or written.
+    /// Version of the object after the last read or write.
     version: Option<Version>,
     last_attempt: Instant,
 }
 
 impl ModelStorage {
-    /// A keeper that first writes a period from now.
+    /// Creates a writer whose first write is one period from now.
     pub(super) fn new(gateway: Arc<Gateway>, objects: Arc<dyn VersionedObjects>) -> Self {
         Self { gateway, objects, version: None, last_attempt: Instant::now() }
     }
 
-    /// Writes what is known when a period has passed. A failure is said and tried again a period later.
+    /// Writes the statistics if a period has passed. A failure is logged and retried a period later.
     pub(super) async fn write_if_due(&mut self) {
         if self.last_attempt.elapsed() < WRITE_PERIOD {
             return;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Reads what was kept, at a start. Without it the node learns anew.
+/// Restores the stored statistics at the start. Without them the node learns them again.
 pub(super) async fn restore(gateway: Arc<Gateway>, objects: Arc<dyn VersionedObjects>) {
     let on_error = |reason| emit(&EngineModelsNotKept { reason });
     if let Some(object) = read_at_start(objects.as_ref(), KEY, on_error).await {
--- a/crates/beamwall-node/src/gateway/stored_objects.rs
+++ b/crates/beamwall-node/src/gateway/stored_objects.rs
@@ -1,15 +1,16 @@
-//! Reads what was kept in the store, at a start.
+//! Reads stored objects at the start of the node.
 
 use std::time::Duration;
 
 use beamwall_store::object::{Object, VersionedObjects};
 
-/// Tries, and the pause between them: a store that is away for a moment costs nothing that was kept.
+/// Attempts, and the delay between them: a short outage of the store at the start does not lose the stored
+/// state.
 const MAX_ATTEMPTS: u32 = 5;
 const READ_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Reads an object until there is an answer, a few times; `tell` is told why there was none. `None`: it does not exist, or
-/// the store gave no answer.
+/// Reads an object, with several attempts; `on_error` receives the reason of each failed one. Returns `None`
+/// if the object does not exist or the store did not answer.
 pub(super) async fn read_at_start(
     objects: &dyn VersionedObjects,
     key: &str,
--- a/crates/beamwall-node/src/gateway/stored_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/stored_quarantine.rs
@@ -1,5 +1,6 @@
-//! Held requests, kept in the store: when all gateways are killed at once, the next ones need not learn them by the ends of more
-//! back ends. Trials are granted there, too: the store's conditional write lets one node have each.
+//! Held requests in the control store: when all gateways are killed at once, their successors need not learn
+//! them from the termination of more back ends. Trials are granted there too: the store's conditional write
+//! grants each one to a single node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,12 +19,12 @@
 
 use crate::gateway::stored_objects::read_at_start;
 
-/// The object.
+/// Key of the object.
 const KEY: &str = "reports/held-requests";
-/// Least time between two writes of the node that holds the lease on duties.
+/// Minimum time between two writes of the node that holds the duties lease.
 const WRITE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What is kept of all, by their fingerprints in hexadecimal digits.
+/// The stored requests, by fingerprint in hexadecimal digits.
 type StoredRequests = BTreeMap<String, Suspect>;
 
 /// The object in the store.
@@ -31,13 +32,13 @@
     objects: Arc<dyn VersionedObjects>,
     book: Arc<QuarantineBook>,
     clock: Arc<FleetClock>,
-    /// The digest of what was last written.
+    /// Digest of the last write.
     written_digest: AtomicU64,
     write_throttle: Throttle,
 }
 
 impl StoredQuarantine {
-    /// What is kept of `book`.
+    /// Stores the held requests of `book`.
     pub fn new(
         objects: Arc<dyn VersionedObjects>,
         book: Arc<QuarantineBook>,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Writes what is held where it has changed; run by the node that holds the lease on duties. A failure is said and
-    /// tried again a period later.
+    /// Writes the held requests if they have changed; used by the node that holds the duties lease. A failure
+    /// is logged and retried a period later.
     pub async fn write_if_due(&self) {
         let digest = self.book.kept_digest();
         if digest == self.written_digest.load(Ordering::Relaxed) || !self.write_throttle.admit(WRITE_PERIOD) {
@@ -65,18 +66,19 @@
         }
     }
 
-    /// Reads what is kept, at a start. Without it the node hears of held requests from its peers.
+    /// Restores the stored requests at the start. Without them the node receives the held requests from its
+    /// peers.
     pub async fn restore(&self) {
         if let Some(object) = read_at_start(self.objects.as_ref(), KEY, log_not_stored).await {
             self.book.hear(decode(&read(&object)), self.clock.now_ms());
         }
     }
 
-    /// Writes what is held, with what the store knows of it, unless `change` finds that it shall not be.
+    /// Merges the stored requests with the local ones and writes them, unless `change` returns false.
     async fn write(&self, change: impl FnOnce(&mut StoredRequests) -> bool) -> Result<bool, ObjectError> {
         let stored = self.objects.get(KEY).await?;
         if let Some(stored) = &stored {
-            // A trial may have been granted to a node that has not told of it.
+            // A trial may have been granted to a node that has not announced it.
             self.book.hear(decode(&read(stored)), self.clock.now_ms());
         }
         let mut requests = encode(self.book.kept());
@@ -96,7 +98,7 @@
 impl TrialPort for StoredQuarantine {
     async fn take(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool {
         let grant = |requests: &mut StoredRequests| match requests.get_mut(&request.to_hex()) {
-            // Of one number there is one trial, whenever it is asked for.
+            // A trial number is granted only once, however often it is requested.
             Some(known) if known.trials < number => known.note_trial(number, now_ms),
             _ => false,
         };
@@ -116,7 +118,7 @@
     emit(&HeldRequestsNotKept { reason });
 }
 
-/// What an object holds. What another writer put there is no evidence, and is overwritten.
+/// Parses the object. Content of another writer that can't be parsed is logged and will be overwritten.
 fn read(object: &Object) -> StoredRequests {
     serde_json::from_slice(&object.value).unwrap_or_else(|error| {
         log_not_stored(error.to_string());
@@ -128,7 +130,7 @@
     requests.into_iter().map(|(request, suspect)| (request.to_hex(), suspect)).collect()
 }
 
-/// What is kept as evidence; a name that is no fingerprint is passed over.
+/// Converts stored requests to evidence; names that are not fingerprints are skipped.
 fn decode(requests: &StoredRequests) -> Evidence {
     let named = requests.iter().filter_map(|(name, suspect)| Some((Fingerprint::from_hex(name)?, suspect)));
     let suspects: Vec<(Fingerprint, &Suspect)> = named.collect();
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension.rs
@@ -1,7 +1,8 @@
-//! Notices that the machine was suspended: the clock that counts the time asleep has run ahead of the steady one.
+//! Detects suspensions of the machine: the clock that counts the time asleep has run ahead of the monotonic
+//! one.
 //!
-//! What holds by a term looks at that clock by itself (`beamwall-clock`). Here the node tells of it, and tells its peers at once
-//! that it is back, so that they tell it what is new.
+//! Leases and timeouts take that clock into account on their own (`beamwall-clock`). This module logs the
+//! suspension, and sends a heartbeat at once so that peers report what changed meanwhile.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,22 +11,22 @@
 use beamwall_events::internal_events::MachineSuspended;
 use tokio::sync::Notify;
 
-/// A shorter suspension is within what terms allow anyway.
+/// Shorter suspensions are within the tolerance of leases and timeouts.
 const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
-/// What was known of suspensions at the last look.
+/// Time that the machine had been asleep at the last check.
 pub struct SuspensionMonitor {
     asleep_before: Duration,
     heartbeat_trigger: Arc<Notify>,
 }
 
 impl SuspensionMonitor {
-    /// Knows the suspensions until now; `news` is told after each further one.
+    /// Ignores suspensions up to now; `heartbeat_trigger` is notified after each later one.
     pub fn new(heartbeat_trigger: Arc<Notify>) -> Self {
         Self { asleep_before: beamwall_clock::asleep(), heartbeat_trigger }
     }
 
-    /// Looks whether the machine was suspended since the last look.
+    /// Checks whether the machine was suspended since the last check.
     pub fn detect_suspension(&mut self) {
         let asleep = beamwall_clock::asleep();
         let length = asleep.saturating_sub(self.asleep_before);
--- a/crates/beamwall-node/src/gateway/unreadable_entries.rs
+++ b/crates/beamwall-node/src/gateway/unreadable_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the list of back ends that can't be read: counted, and each told once.
+//! Entries of the list of back ends that can't be parsed: all are counted, and each is logged once.
 
 use std::collections::HashSet;
 use std::sync::{Mutex, PoisonError};
@@ -8,10 +8,11 @@
 use beamwall_gateway::ports::UnreadableEntry;
 use prometheus::{IntCounter, Registry};
 
-/// Entries that are remembered as told; with more, all are forgotten, and those that stay are told once more.
+/// Limit of the entries remembered as logged; beyond it all are forgotten, and those still present are logged
+/// again.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// The entries that could not be read.
+/// Counts and logs unreadable entries.
 #[derive(Debug)]
 pub struct UnreadableEntries {
     read: IntCounter,
@@ -19,7 +20,7 @@
 }
 
 impl UnreadableEntries {
-    /// Counts them among the metrics.
+    /// Registers the counter.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let name = "beamwall_gateway_unreadable_entries_total";
         let read = IntCounter::new(name, "entries of the list of back ends read that name no back end")?;
@@ -27,7 +28,7 @@
         Ok(Self { read, logged: Mutex::default() })
     }
 
-    /// Notes entries that were passed over.
+    /// Counts entries that were skipped and logs new ones.
     pub fn note(&self, entries: &[UnreadableEntry]) {
         let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in entries {
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -1,14 +1,15 @@
-//! Follows the store of decisions: one watch over the policy and one over the back ends.
+//! Watches the control store: one watch for the policy and one for the back ends.
 //!
-//! In a large zone a few nodes watch and tell the others; who does is chosen by rendezvous hash among
-//! those alive, so that another takes over as soon as one is missed. Every node reads once at its start.
+//! In a large zone a few nodes watch and update the others. They are selected by rendezvous hash among the
+//! live nodes, so another node takes over as soon as one is found missing. Every node reads once at its
+//! start.
 //!
-//! A watch that fails is taken up again at the revision it had reached, so nothing between is
-//! missed; when that history is gone, everything is read anew. Waits are short, because a watch
-//! on a connection that died silently hears nothing until its time is over.
+//! A watch that fails is resumed at the last revision, so no change is missed; if the store no longer has
+//! that history, everything is read again. Waits are short, because a watch on a connection that died
+//! silently receives nothing until its timeout.
 //!
-//! A watch that passes a change over never tells of it. So one node holds what is known against a cheaper reading now
-//! and then, and what is doubted is read whole again.
+//! A watch that skipped a change never delivers it later. One node therefore verifies the current state
+//! periodically with a cheaper read, and a list suspected to be stale is read again in full.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -31,30 +32,31 @@
 
 /// Longest wait of one watch call.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
-/// Nodes of a zone that watch each subject.
+/// Number of nodes of a zone that watch each resource.
 pub(super) const WATCHERS_PER_ZONE: usize = 2;
-/// First pause after a failure; it doubles with each further one.
+/// Delay after the first failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause.
+/// Longest delay after a failure.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Time between two cheaper readings of a subject, by one node for all.
+/// Time between two verifications of a resource, by one node of the deployment.
 const VERIFY_PERIOD: Duration = Duration::from_secs(5);
-/// Further time for each entry that such a reading brings: a long list takes the link of the node that reads it.
+/// Additional time per entry: reading a long list occupies the link of the node that verifies.
 const VERIFY_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
-/// Time between two looks at whether the list of back ends is doubted.
+/// Time between two checks whether the list of back ends is suspected to be stale.
 const STALE_CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// Longest wait, for each node known, of those that don't watch for their zone: those that do read first and tell the others.
+/// Upper bound, per known node, of the random additional delay of nodes that do not watch for their zone: the
+/// watchers read first and update the others.
 const NON_WATCHER_DELAY_PER_NODE: Duration = Duration::from_millis(20);
-/// The shortest wait of those that don't watch.
+/// Minimum delay of nodes that do not watch for their zone.
 const NON_WATCHER_DELAY: Duration = Duration::from_secs(2);
-/// The source named in logs.
+/// Source of the data in log events.
 const SOURCE: &str = "store";
-/// The policy as a subject of the store.
+/// Name of the policy resource.
 pub const POLICY: &str = "policy";
-/// The back ends as a subject of the store.
+/// Name of the back ends resource.
 pub const BACKENDS: &str = "back ends";
 
-/// Pauses that grow while calls fail.
+/// Exponential delay between failed calls.
 struct Backoff(Duration);
 
 impl Backoff {
@@ -72,34 +74,35 @@
     }
 }
 
-/// Something in the store that is followed: read whole once, then watched, and held against a cheaper reading now and then.
+/// A resource of the store that is read once, then watched, and periodically verified with a cheaper read.
 pub trait WatchedResource: Send + Sync + 'static {
-    /// Its name in logs, and by which its watchers are chosen.
+    /// Name in logs and metrics, and key for selecting the watching nodes.
     const SUBJECT: &'static str;
-    /// Pause after a change, so that those that follow at once come in one answer.
+    /// Delay after a change, so that further changes right after it arrive in one answer.
     const BATCH_DELAY: Duration;
-    /// Time between two cheaper readings.
+    /// Time between two verifications.
     const VERIFY_PERIOD: Duration;
 
-    /// Reads it whole, or watches on from the revision reached; gives the revision reached then.
+    /// Reads the whole resource, or watches it from `last_revision`; returns the new revision.
     fn read_or_watch(
         &self,
         last_revision: Option<u64>,
     ) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
 
-    /// Takes what a cheaper reading brings that was not told; gives its revision, or `None` where there is nothing new.
+    /// Verifies the resource with a cheaper read and applies missed changes; returns the revision read, or
+    /// `None` if nothing was missed.
     fn verify(&self) -> impl Future<Output = Result<Option<u64>, ControlStoreError>> + Send;
 
-    /// Entries that such a reading brings.
+    /// Number of entries that a verification reads.
     fn entries(&self) -> usize;
 
-    /// Returns as soon as what is known should be read whole again.
+    /// Returns as soon as the whole resource should be read again.
     fn suspected_stale(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
 
-/// Follows a subject until the task is ended. After the first reading only the nodes chosen watch on.
+/// Watches a resource until the task is aborted. After the first read only selected nodes keep watching.
 pub async fn watch_resource<F: WatchedResource>(
     resource: Arc<F>,
     status: Arc<StoreStatus>,
@@ -141,7 +144,7 @@
     }
 }
 
-/// Holds a subject against cheaper readings until the task is ended, while this node is chosen to.
+/// Verifies a resource periodically until the task is aborted, while this node is selected to do so.
 pub async fn verify_resource<F: WatchedResource>(resource: Arc<F>, selector: NodeSelector) {
     loop {
         let entries = u32::try_from(resource.entries()).unwrap_or(u32::MAX);
@@ -150,7 +153,7 @@
         if !selector.is_selected_globally(F::SUBJECT) {
             continue;
         }
-        // Where the store is away, the watch over the same subject tells of it.
+        // If the store is unavailable, the watch of the same resource reports it.
         if let Ok(Some(revision)) = resource.verify().await {
             emit(&WatchMissedChange { what: F::SUBJECT.to_owned(), revision: revision.to_string() });
         }
@@ -159,11 +162,11 @@
 
 /// The policy in the store.
 pub struct WatchedPolicy {
-    /// The store.
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
-    /// Takes newer policies.
+    /// Applies newer policies.
     pub policy: ActorRef<PolicyActor>,
-    /// Holds the policy in force.
+    /// Holds the policy in effect.
     pub gateway: Arc<Gateway>,
 }
 
@@ -195,24 +198,24 @@
 }
 
 impl WatchedPolicy {
-    /// Offers what was read; returns whether it is newer than what was in force.
+    /// Offers the policy read from the store; returns whether it is newer than the one in effect.
     async fn offer(&self, policy: Option<TrafficPolicy>) -> bool {
         let Some(policy) = policy else { return false };
         let offer = OfferPolicy { policy, source: SOURCE.to_owned() };
-        // The actor ends only with the node.
+        // The actor stops only together with the node.
         self.policy.ask(offer).await.unwrap_or(false)
     }
 }
 
-/// The back ends in the store.
+/// The list of back ends in the store.
 pub struct WatchedBackends {
-    /// The store.
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
     /// Reads the whole list.
     pub reader: DirectoryReader,
-    /// Takes lists and changes.
+    /// Applies lists and changes.
     pub directory_updates: ActorRef<DirectoryActor>,
-    /// Knows what speaks against the list.
+    /// Holds the indications that the list may be stale.
     pub gateway: Arc<Gateway>,
 }
 
@@ -238,7 +241,8 @@
 
     async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
         let read = self.reader.recent_digest().await?;
-        // It may be older than what is held, so it is no proof: the newest is read before anything is taken.
+        // This read may be older than the list held here, so a difference proves nothing: the newest list is
+        // read before anything is applied.
         if read != self.reader.current.load().digest() {
             self.doubts().note_store_differs();
         }
@@ -280,13 +284,14 @@
         self.doubts().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
     }
 
-    /// Time for which a node that does not watch for its zone leaves a reading to those that do.
+    /// Delay for which a node that does not watch for its zone leaves the read to the watchers.
     fn non_watcher_delay(&self) -> Duration {
         let nodes = u32::try_from(self.reader.selector.other_nodes_known()).unwrap_or(u32::MAX);
         NON_WATCHER_DELAY + (NON_WATCHER_DELAY_PER_NODE * nodes).mul_f64(rand::rng().random())
     }
 
-    /// Reads the whole list: for the first time, where it can't be followed on, or because it is doubted.
+    /// Reads the whole list: initially, when the watch can't be resumed, or when the list is suspected to be
+    /// stale.
     async fn read_whole_list(&self) -> Result<u64, ControlStoreError> {
         let held = self.reader.current.load().revision();
         let purpose = if held == 0 { ReadPurpose::Initial } else { ReadPurpose::Reread };
@@ -306,7 +311,7 @@
 
     async fn apply_list(&self, snapshot: DirectorySnapshot) -> Correction {
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
-        // The actor ends only with the node.
+        // The actor stops only together with the node.
         let taken = self.directory_updates.ask(reading).await;
         taken.map_or(Correction::Outdated, |ReadingTaken(correction)| correction)
     }
@@ -320,7 +325,7 @@
     }
 }
 
-/// Whether a watch may be taken up again at the revision it had reached.
+/// Whether a watch can be resumed at the last revision after this error.
 fn may_resume(error: &ControlStoreError) -> bool {
     matches!(error, ControlStoreError::Unavailable(_))
 }
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -1,10 +1,10 @@
-//! How the gateways of a large deployment know of other zones: by sums, not node by node.
+//! Zone summaries: the gateways of a large deployment exchange sums by zone instead of reports by node.
 //!
-//! Where all nodes told each other, the cost of a node's heartbeats would grow with the whole deployment.
-//! So only the nodes of a zone do. The relays of a zone sum what they hear, send the sum to one relay of
-//! each other zone, in turn, and that one passes it on to its own zone. With two relays a zone the loss
-//! of one costs every second sum, until membership has chosen another. A sum holds totals, so one that is not passed on
-//! because the relay's link is taken loses nothing but freshness.
+//! If all nodes reported to each other, the cost of a node's heartbeats would grow with the whole deployment,
+//! so only the nodes of a zone do. The relays of a zone sum up the reports they receive and send the summary
+//! to one relay of each other zone, in rotation, which forwards it within its own zone. With two relays per
+//! zone the loss of one costs every second summary, until membership has chosen another. A summary holds
+//! totals, so one that is not forwarded because the relay's link is busy only delays the data.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,26 +26,27 @@
 use crate::gateway::placement_router::{LocalNode, PlacementRouter};
 use crate::shared::MembershipView;
 
-/// Members up to which all nodes tell each other, whatever their zone.
+/// Up to this number of members all nodes report to each other, whatever their zone.
 pub(super) const SMALL_DEPLOYMENT_MAX_MEMBERS: usize = 24;
-/// Time without a sum after which a zone's nodes count as not heard.
+/// Time without a summary after which the nodes of a zone count as unreachable.
 const SUMMARY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time after which a zone's sum is passed on although the link is taken, so that the zone is heard.
+/// Time after which a summary is forwarded even if the link is busy, so that the zone still counts as
+/// reachable.
 const FORWARD_WITHIN: Duration = Duration::from_secs(1);
-/// Time without a sum after which a zone's open work and demand are not counted any more.
+/// Time without a summary after which a zone's open work and demand are dropped.
 const DATA_EXPIRES_AFTER: Duration = Duration::from_secs(5);
 
-/// What is known of the other zones beside their sums.
+/// State of the other zones besides the content of their summaries.
 #[derive(Debug, Default)]
 pub struct RemoteZones {
     known_zones: Mutex<HashMap<ZoneName, RemoteZone>>,
-    /// Number of the next sum, by which the receiving relays take turns.
+    /// Counts the summaries sent, to rotate among the receiving relays.
     rotation: AtomicUsize,
-    /// When this relay last passed on a zone's sum.
+    /// When this relay last forwarded each zone's summary.
     last_forwarded: Mutex<HashMap<ZoneName, Instant>>,
-    /// Whether zones have been known by sums since the start.
+    /// Whether zone summaries have been in use since the start.
     uses_summaries: AtomicBool,
-    /// Who places in each group, for a relay.
+    /// Determines the placement node of each group, on a relay.
     placement_router: Mutex<PlacementRouter>,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether a zone's sum is passed on, where `has_room` tells whether the link has room for it.
+    /// Whether a zone's summary is forwarded now; `has_room` is whether the link has room for it.
     fn should_forward(&self, zone: &ZoneName, has_room: bool, now: Instant) -> bool {
         let mut last_forwarded = self.last_forwarded.lock().unwrap_or_else(PoisonError::into_inner);
         let is_due = last_forwarded.get(zone).is_none_or(|at| now.duration_since(*at) >= FORWARD_WITHIN);
@@ -74,13 +75,13 @@
         has_room || is_due
     }
 
-    /// Nodes of all other zones that are heard by relays that are heard.
+    /// Nodes of all other zones that their relays hear, for zones whose summaries arrive.
     pub(super) fn nodes_heard(&self) -> usize {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
         known_zones.values().filter(|zone| zone.at.elapsed() < SUMMARY_TIMEOUT).map(|zone| zone.nodes).sum()
     }
 
-    /// Zones that were heard and have fallen silent.
+    /// Zones whose summaries have stopped arriving.
     pub(super) fn silent(&self) -> HashSet<ZoneName> {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
         let expired = known_zones.iter().filter(|(_, zone)| zone.at.elapsed() >= SUMMARY_TIMEOUT);
@@ -97,18 +98,18 @@
 }
 
 impl PeerExchange {
-    /// Whether other zones are known by sums.
+    /// Whether the deployment is large enough to use zone summaries.
     pub(super) fn is_large_deployment(&self) -> bool {
         self.members.load().members.len() + 1 > SMALL_DEPLOYMENT_MAX_MEMBERS
     }
 
-    /// Members of this zone that may live.
+    /// Members of this zone that may be alive.
     pub(super) fn zone_members<'a>(&'a self, members: &'a [Member]) -> impl Iterator<Item = &'a Member> {
         members.iter().filter(|member| member.zone == self.zone && member.state <= MemberState::Suspect)
     }
 
-    /// Sends this zone's sum to one relay of each other zone, if this node is a relay, and forgets zones
-    /// that have fallen silent.
+    /// Sends this zone's summary to one relay of each other zone, if this node is a relay, and drops the data
+    /// of zones that have fallen silent.
     pub(super) fn send_zone_summaries(&self, targets: &[Target]) {
         if !self.is_large_deployment() {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Of the relays of other zones that are probed anyway, one a zone, by turns.
+    /// One relay per other zone, in rotation, among those that are probed anyway.
     fn receiving_relays(&self, targets: &[Target]) -> Vec<SocketAddr> {
         let rotation = self.zones.rotation.fetch_add(1, Ordering::Relaxed);
         let view = self.members.load();
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Takes another zone's sum; the relay that got it from that zone passes it on in its own.
+    /// Applies another zone's summary; the relay that received it from that zone forwards it within its own.
     pub(super) fn handle_zone_summary(&self, envelope: &Envelope, summary: ZoneSummary) {
         let zone = ZoneName::new(&summary.zone);
         if !self.is_large_deployment() || zone == self.zone {
@@ -185,7 +186,7 @@
         self.zones.note(zone, summary.relay, summary.nodes_heard as usize);
     }
 
-    /// Passes another zone's sum on to the nodes of this one, as often as the link has room for it.
+    /// Forwards another zone's summary to the nodes of this zone, as often as the link has room for it.
     fn forward_summary(&self, zone: &ZoneName, summary: &ZoneSummary) {
         let view = self.members.load_full();
         let members: Vec<&Member> = self.zone_members(&view.members).collect();
@@ -221,8 +222,8 @@
         ForwardedLoads::split_by_receiver(loads, &self.directory.load(), is_placed, placement_node)
     }
 
-    /// Drops what single nodes of other zones told while the deployment seemed small: from now on it is
-    /// part of their zones' sums.
+    /// Drops the reports of single nodes of other zones from the time when the deployment seemed small: from
+    /// now on they are part of their zones' summaries.
     fn forget_remote_nodes(&self) {
         if self.zones.uses_summaries.swap(true, Ordering::Relaxed) {
             return;
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Forgets the open work, the demand and the observations that somebody told.
+    /// Drops the open work, demand and observations of a reporter.
     pub(super) fn forget_reporter(&self, reporter: &Reporter) {
         self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
         self.gateway.forwarder.demand.forget_peer(reporter);
