--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -127,7 +127,7 @@
             Err(error) => {
                 let newly_exhausted = term.book.note_refused(&order, error == DutyError::Exhausted, now);
                 if newly_exhausted {
-                    // The exhausted supply is replaced by lasting back ends from the next evaluation on.
+                    // The exhausted supply is replaced by on-demand back ends from the next evaluation on.
                     term.next_check = None;
                 }
             }
