--- a/crates/beamwall-node/src/gateway/forwarded_loads.rs
+++ b/crates/beamwall-node/src/gateway/forwarded_loads.rs
@@ -30,19 +30,19 @@
         is_placed: impl Fn(&ServiceName) -> bool,
         mut placement_node: impl FnMut(EngineGroup) -> Option<NodeId>,
     ) -> Self {
-        let mut sorted = Self::default();
+        let mut split = Self::default();
         for load in loads {
             let id = BackendId::new(&load.backend);
             match group_of(directory, &id, &is_placed) {
-                None => sorted.to_all.push(load.clone()),
+                None => split.to_all.push(load.clone()),
                 Some(group) => {
                     if let Some(node) = placement_node(group) {
-                        sorted.to_placement_nodes.entry(node).or_default().push(load.clone());
+                        split.to_placement_nodes.entry(node).or_default().push(load.clone());
                     }
                 }
             }
         }
-        sorted
+        split
     }
 }
 
--- a/crates/beamwall-node/src/gateway/peer_restarts.rs
+++ b/crates/beamwall-node/src/gateway/peer_restarts.rs
@@ -15,7 +15,7 @@
 /// The last generation of each peer that sends its generation.
 #[derive(Debug, Default)]
 pub struct PeerRestarts {
-    last: Mutex<HashMap<NodeId, PeerRun>>,
+    last_runs: Mutex<HashMap<NodeId, PeerRun>>,
     ended_abruptly: AtomicU64,
 }
 
@@ -46,14 +46,14 @@
     /// ended before it sent anything to this node.
     pub(super) fn note(&self, envelope: &Envelope, generation: u64, member: impl FnOnce() -> Option<Member>) {
         let peer = NodeId::new(&envelope.sender);
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let current_run = last.entry(peer).or_insert_with(|| last_known_run(generation, member()));
+        let mut last_runs = self.last_runs.lock().unwrap_or_else(PoisonError::into_inner);
+        let current_run = last_runs.entry(peer).or_insert_with(|| last_known_run(generation, member()));
         if generation < current_run.generation {
             return;
         }
         let previous_run = (generation > current_run.generation).then_some(*current_run);
         *current_run = PeerRun { generation, was_draining: envelope.draining };
-        drop(last);
+        drop(last_runs);
         if let Some(previous_run) = previous_run {
             self.log_previous_end(envelope, previous_run);
         }
--- a/crates/beamwall-node/src/gateway/stored_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/stored_quarantine.rs
@@ -70,7 +70,7 @@
     /// peers.
     pub async fn restore(&self) {
         if let Some(object) = read_at_start(self.objects.as_ref(), KEY, log_not_stored).await {
-            self.book.hear(decode(&read(&object)), self.clock.now_ms());
+            self.book.hear(decode(&parse_object(&object)), self.clock.now_ms());
         }
     }
 
@@ -79,7 +79,7 @@
         let stored = self.objects.get(KEY).await?;
         if let Some(stored) = &stored {
             // A trial may have been granted to a node that has not announced it.
-            self.book.hear(decode(&read(stored)), self.clock.now_ms());
+            self.book.hear(decode(&parse_object(stored)), self.clock.now_ms());
         }
         let mut requests = encode(self.book.kept());
         if !change(&mut requests) {
@@ -119,7 +119,7 @@
 }
 
 /// Parses the object. Content of another writer that can't be parsed is logged and will be overwritten.
-fn read(object: &Object) -> StoredRequests {
+fn parse_object(object: &Object) -> StoredRequests {
     serde_json::from_slice(&object.value).unwrap_or_else(|error| {
         log_not_stored(error.to_string());
         StoredRequests::new()
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -53,13 +53,13 @@
 #[derive(Debug, Clone, Copy)]
 struct RemoteZone {
     nodes: usize,
-    at: Instant,
+    last_summary_at: Instant,
 }
 
 impl RemoteZones {
     fn note(&self, zone: ZoneName, relay: String, nodes: usize) {
         let mut known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = known_zones.insert(zone.clone(), RemoteZone { nodes, at: Instant::now() });
+        let before = known_zones.insert(zone.clone(), RemoteZone { nodes, last_summary_at: Instant::now() });
         if before.is_none() {
             emit(&ZoneHeard { zone: zone.to_string(), relay, nodes: nodes.to_string() });
         }
@@ -78,20 +78,25 @@
     /// Nodes of all other zones that their relays hear, for zones whose summaries arrive.
     pub(super) fn nodes_heard(&self) -> usize {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
-        known_zones.values().filter(|zone| zone.at.elapsed() < SUMMARY_TIMEOUT).map(|zone| zone.nodes).sum()
+        known_zones
+            .values()
+            .filter(|zone| zone.last_summary_at.elapsed() < SUMMARY_TIMEOUT)
+            .map(|zone| zone.nodes)
+            .sum()
     }
 
     /// Zones whose summaries have stopped arriving.
     pub(super) fn silent(&self) -> HashSet<ZoneName> {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
-        let expired = known_zones.iter().filter(|(_, zone)| zone.at.elapsed() >= SUMMARY_TIMEOUT);
+        let expired =
+            known_zones.iter().filter(|(_, zone)| zone.last_summary_at.elapsed() >= SUMMARY_TIMEOUT);
         expired.map(|(zone, _)| zone.clone()).collect()
     }
 
     fn remove_expired(&self) -> Vec<ZoneName> {
         let mut known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
         known_zones
-            .extract_if(|_, zone| zone.at.elapsed() >= DATA_EXPIRES_AFTER)
+            .extract_if(|_, zone| zone.last_summary_at.elapsed() >= DATA_EXPIRES_AFTER)
             .map(|(zone, _)| zone)
             .collect()
     }
