--- a/crates/beamwall-duties/src/orders.rs
+++ b/crates/beamwall-duties/src/orders.rs
@@ -1,7 +1,8 @@
-//! What was ordered of back ends and what came of it, in one tenure and on to the next.
+//! Capacity orders of one term and their results, carried over to the next term.
 //!
-//! A holder that did not know what its predecessor had ordered would order anew by what it finds: lasting back ends that stand in for
-//! reclaimable ones and are still booting would be given back, and ordered once more when it is told that no reclaimable ones can be had.
+//! A new lease holder that did not know its predecessor's orders would compute orders from the running back
+//! ends alone: it would release on-demand back ends that substitute for reclaimable ones and are still
+//! booting, and order them again once it learns that no reclaimable ones are available.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,99 +12,100 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Pause after an order that could not be carried out.
-const ORDER_PAUSE: Duration = Duration::from_secs(3);
+/// Delay before an order that failed is attempted again.
+const RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// An order as kept for the next holder.
+/// An order as saved for the next lease holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptOrder {
-    /// What it is about.
+pub struct SavedOrder {
+    /// Service, zone and kind of back end of the order.
     pub key: OrderKey,
-    /// How many were ordered last; `None` where no order was carried out.
+    /// The last ordered number of back ends; `None` if no order was placed.
     pub wanted: Option<u32>,
-    /// Whether none could be had at the last try.
+    /// Whether no capacity was available at the last attempt.
     pub is_exhausted: bool,
 }
 
-/// An order whose last try was not taken.
+/// An order whose last attempt failed.
 #[derive(Debug, Clone, Copy)]
-struct RefusedOrder {
-    at: Instant,
-    /// Whether none could be had; otherwise no answer came.
+struct FailedOrder {
+    failed_at: Instant,
+    /// Whether no capacity was available; otherwise the request got no answer.
     is_exhausted: bool,
 }
 
-/// The orders of one tenure.
+/// Capacity orders of one term.
 #[derive(Debug, Default)]
-pub struct OrderBook {
-    given: BTreeMap<OrderKey, GivenOrder>,
-    refused: BTreeMap<OrderKey, RefusedOrder>,
+pub struct OrderTracker {
+    placed: BTreeMap<OrderKey, GivenOrder>,
+    failed: BTreeMap<OrderKey, FailedOrder>,
 }
 
-impl OrderBook {
-    /// Goes on from what the last holder kept. Its orders count as given now, since it is not known when they were.
-    pub fn continuing(kept: Vec<KeptOrder>, now: Instant) -> Self {
-        let mut book = Self::default();
-        for KeptOrder { key, wanted, is_exhausted } in kept {
+impl OrderTracker {
+    /// Restores the orders of the previous lease holder. They count as placed now, since their time is not
+    /// saved.
+    pub fn restore(saved: Vec<SavedOrder>, now: Instant) -> Self {
+        let mut tracker = Self::default();
+        for SavedOrder { key, wanted, is_exhausted } in saved {
             if is_exhausted {
-                book.refused.insert(key.clone(), RefusedOrder { at: now, is_exhausted });
+                tracker.failed.insert(key.clone(), FailedOrder { failed_at: now, is_exhausted });
             }
-            book.given.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
+            tracker.placed.extend(wanted.map(|wanted| (key, GivenOrder::new(wanted, now))));
         }
-        book
+        tracker
     }
 
-    /// What the next holder goes on from.
-    pub fn to_keep(&self) -> Vec<KeptOrder> {
-        let exhausted = self.refused.iter().filter(|(_, refused)| refused.is_exhausted).map(|(key, _)| key);
-        let mut keys: Vec<&OrderKey> = self.given.keys().chain(exhausted).collect();
+    /// Returns the orders to save for the next lease holder.
+    pub fn to_saved(&self) -> Vec<SavedOrder> {
+        let exhausted = self.failed.iter().filter(|(_, failure)| failure.is_exhausted).map(|(key, _)| key);
+        let mut keys: Vec<&OrderKey> = self.placed.keys().chain(exhausted).collect();
         keys.sort();
         keys.dedup();
-        let kept = |key: &OrderKey| KeptOrder {
+        let saved = |key: &OrderKey| SavedOrder {
             key: key.clone(),
-            wanted: self.given.get(key).map(|given| given.wanted),
+            wanted: self.placed.get(key).map(|order| order.wanted),
             is_exhausted: self.is_exhausted(key),
         };
-        keys.into_iter().map(kept).collect()
+        keys.into_iter().map(saved).collect()
     }
 
-    /// The orders that were given.
-    pub fn given(&self) -> &BTreeMap<OrderKey, GivenOrder> {
-        &self.given
+    /// Returns the orders that were placed.
+    pub fn placed(&self) -> &BTreeMap<OrderKey, GivenOrder> {
+        &self.placed
     }
 
-    /// The same, to note what came of them.
-    pub fn given_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
-        &mut self.given
+    /// Returns the placed orders for updating with their results.
+    pub fn placed_mut(&mut self) -> &mut BTreeMap<OrderKey, GivenOrder> {
+        &mut self.placed
     }
 
-    /// How many were ordered last.
-    pub fn ordered(&self, key: &OrderKey) -> Option<u32> {
-        self.given.get(key).map(|given| given.wanted)
+    /// Returns the last ordered number of back ends.
+    pub fn last_ordered(&self, key: &OrderKey) -> Option<u32> {
+        self.placed.get(key).map(|order| order.wanted)
     }
 
-    /// Whether none could be had at the last try.
+    /// Returns whether no capacity was available at the last attempt.
     pub fn is_exhausted(&self, key: &OrderKey) -> bool {
-        self.refused.get(key).is_some_and(|refused| refused.is_exhausted)
+        self.failed.get(key).is_some_and(|failure| failure.is_exhausted)
     }
 
-    /// Whether an order may be tried: it was not refused a moment ago.
-    pub fn may_try(&self, key: &OrderKey, now: Instant) -> bool {
-        let since = |refused: &RefusedOrder| now.saturating_duration_since(refused.at);
-        self.refused.get(key).is_none_or(|refused| since(refused) >= ORDER_PAUSE)
+    /// Returns whether an order may be attempted: it has not failed within the retry delay.
+    pub fn may_attempt(&self, key: &OrderKey, now: Instant) -> bool {
+        let elapsed_since = |failure: &FailedOrder| now.saturating_duration_since(failure.failed_at);
+        self.failed.get(key).is_none_or(|failure| elapsed_since(failure) >= RETRY_DELAY)
     }
 
-    /// Notes that an order was carried out.
-    pub fn note_done(&mut self, order: &CapacityOrder, now: Instant) {
+    /// Records that an order was placed.
+    pub fn record_placed(&mut self, order: &CapacityOrder, now: Instant) {
         let key = OrderKey::of(order);
-        self.refused.remove(&key);
-        self.given.insert(key, GivenOrder::new(order.wanted, now));
+        self.failed.remove(&key);
+        self.placed.insert(key, GivenOrder::new(order.wanted, now));
     }
 
-    /// Notes that an order was not carried out; returns whether it is news that none can be had.
-    pub fn note_refused(&mut self, order: &CapacityOrder, is_exhausted: bool, now: Instant) -> bool {
-        let refused = RefusedOrder { at: now, is_exhausted };
-        let before = self.refused.insert(OrderKey::of(order), refused);
+    /// Records that an order failed. Returns whether it failed for lack of capacity and the last attempt did not.
+    pub fn record_failure(&mut self, order: &CapacityOrder, is_exhausted: bool, now: Instant) -> bool {
+        let failure = FailedOrder { failed_at: now, is_exhausted };
+        let before = self.failed.insert(OrderKey::of(order), failure);
         is_exhausted && !before.is_some_and(|before| before.is_exhausted)
     }
 }
--- a/crates/beamwall-gateway/src/forward.rs
+++ b/crates/beamwall-gateway/src/forward.rs
@@ -5,14 +5,14 @@
 
 use arc_swap::ArcSwap;
 use beamwall_clock::timers;
-use beamwall_engine_model::{Reading, ServiceEstimates};
+use beamwall_engine_model::{PrefillWork, ServiceEstimates};
 use beamwall_events::emit;
 use beamwall_events::internal_events::AttemptSent;
 use beamwall_http::Pool;
 use beamwall_model::{BackendId, NodeId, ServiceName, ZoneName};
 use beamwall_policy::{Route, TenantRef};
 use beamwall_quarantine::{Admission, Fingerprint};
-use beamwall_rollout::{RolloutBook, Side, VersionRule};
+use beamwall_rollout::{RolloutRegistry, VersionChoice, VersionRule};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use tokio::time::Instant;
@@ -102,7 +102,7 @@
     /// Back ends to which it may be sent.
     pub fn attempt_limit(&self) -> u32 {
         match self.admission {
-            Admission::Usual => self.route.attempt_limit.max(1),
+            Admission::Normal => self.route.attempt_limit.max(1),
             Admission::Trial => 1,
         }
     }
@@ -150,7 +150,7 @@
     /// Work that callers ask for.
     pub demand: DemandBook,
     /// Rollouts of other versions.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutRegistry,
     /// Requests under which back ends end.
     pub quarantine: Arc<Quarantine>,
     /// Retry budgets.
@@ -202,7 +202,7 @@
         avoided: &[BackendId],
         versions: Option<&VersionRule>,
     ) -> Option<Choice> {
-        if let Some(rule) = versions.filter(|rule| rule.side == Side::FewOfNew) {
+        if let Some(rule) = versions.filter(|rule| rule.version_choice == VersionChoice::Canary) {
             let chosen = self.choose_as_sender(call, avoided, Some(rule));
             let old = rule.without_new();
             return chosen.or_else(|| self.choose_as_sender(call, avoided, Some(&old)));
@@ -318,7 +318,7 @@
     pub fn place(&self, question: &PlacementQuestion) -> Option<Choice> {
         let now = Instant::now();
         self.knowledge.reports.note(&question.sender, &question.unreachable, now);
-        self.knowledge.models.hear_report(question.observed.clone(), now);
+        self.knowledge.models.add_report(question.observed.clone(), now);
         let avoided = [question.tried.as_slice(), &question.unreachable].concat();
         // Who sends to a few back ends of a new version chooses them itself, so this is for all others.
         let versions = self.rollouts.rule(&question.service, None, beamwall_clock::now());
@@ -338,7 +338,7 @@
         if !is_placed {
             return Some(choice);
         }
-        if let Some(reading_ms) = estimates.reading_ms(choice.reading) {
+        if let Some(reading_ms) = estimates.prefill_ms(choice.reading) {
             self.knowledge.queues.add(&choice.backend, reading_ms, now);
         }
         self.knowledge.prefixes.note_read(&choice.backend, &question.prompt, now);
@@ -398,8 +398,8 @@
     /// Time to read a call's whole prompt, where it has one and the service is known.
     pub fn reading_ms(&self, call: &Call) -> Option<f64> {
         let prompt = call.prompt.as_ref()?;
-        let whole = Reading::of_rest(0, u64::from(prompt.prompt_tokens));
-        self.estimates(&call.service).reading_ms(whole)
+        let whole = PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens));
+        self.estimates(&call.service).prefill_ms(whole)
     }
 
     /// Counts a request that a back end began to run.
--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -1,8 +1,8 @@
-//! Event streams: whole events are passed on as they come, and a stream that breaks off is continued
-//! at another engine where the route allows it.
+//! Forwards event streams. Whole events are forwarded as they arrive, and a stream that fails is resumed at
+//! another engine if the route allows it.
 
-mod pace;
-mod patience;
+mod event_gap;
+mod first_event_wait;
 mod relay;
 mod source;
 
@@ -22,12 +22,12 @@
 use crate::forward::{Call, Forwarder};
 use crate::placement::Choice;
 use crate::refusal::Refusal;
-use crate::stream::patience::Patience;
+use crate::stream::first_event_wait::FirstEventWait;
 use crate::stream::relay::relay;
 use crate::stream::source::{Piece, Source};
 use crate::unary;
 
-/// Forwards a call whose answer is an event stream. Returns once the first events are there.
+/// Forwards a call whose response is an event stream. Returns once the first events have arrived.
 pub async fn forward(forwarder: &Arc<Forwarder>, call: &Arc<Call>) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::default();
     let mut next = attempts.first_choice(forwarder, call).await;
@@ -36,12 +36,12 @@
             forwarder.demand.note_request(&call.service, &call.route.name, choice.reading);
             check_servable(forwarder, call, &choice)?;
         }
-        let failed = match begin(forwarder, call, &choice, call.last_event, &mut attempts).await {
-            Ok(Begun::Stream(begun)) => {
+        let failed = match start_attempt(forwarder, call, &choice, call.last_event, &mut attempts).await {
+            Ok(AttemptStart::Stream(started)) => {
                 attempts.begin();
-                return Ok(relay(forwarder, call, *begun, attempts));
+                return Ok(relay(forwarder, call, *started, attempts));
             }
-            Ok(Begun::Answer(response)) => return Ok(response),
+            Ok(AttemptStart::Answer(response)) => return Ok(response),
             Err(failed) => failed,
         };
         next = attempts.go_on(forwarder, call, &choice, failed).await;
@@ -49,7 +49,7 @@
     Err(attempts.refusal(call))
 }
 
-/// Refuses a call that is known not to be servable before its caller's patience ends.
+/// Refuses a call that is not expected to be served before its deadline.
 fn check_servable(forwarder: &Forwarder, call: &Call, choice: &Choice) -> Result<(), Refusal> {
     let estimates = forwarder.estimates(&call.service);
     let remaining = call.remaining();
@@ -60,41 +60,42 @@
     }
 }
 
-/// How an attempt began.
-enum Begun {
-    /// A stream.
-    Stream(Box<BegunStream>),
-    /// Another answer, read whole.
+/// Response of an engine to an attempt.
+enum AttemptStart {
+    /// An event stream.
+    Stream(Box<StartedStream>),
+    /// Another response, read completely.
     Answer(Response<Body>),
 }
 
-/// A stream that has begun.
-struct BegunStream {
+/// A stream whose first events have arrived.
+struct StartedStream {
     head: StreamHead,
     source: Source,
     first: Piece,
 }
 
-/// The head of a stream's answer.
+/// Status and headers of a streaming response.
 struct StreamHead {
     status: StatusCode,
     headers: HeaderMap,
 }
 
-/// Opens a stream at one back end and waits for its first events. It is left where it is silent and another takes the request.
-async fn begin(
+/// Opens a stream at one back end and waits for its first events. The attempt is abandoned if the back end is
+/// silent and another one can take the request.
+async fn start_attempt(
     forwarder: &Arc<Forwarder>,
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<Begun, FailedAttempt> {
-    let patience = Patience::new(forwarder, call, choice, attempts);
+) -> Result<AttemptStart, FailedAttempt> {
+    let first_event_wait = FirstEventWait::new(forwarder, call, choice, attempts);
     let sent_at = running::now();
     let limit = call.remaining();
     let sent = attempts.sent + 1;
     let mut next_back_end = std::pin::pin!(async {
-        patience.ends().await;
+        first_event_wait.expired().await;
         failover::next_back_end(forwarder, call, attempts, sent, &choice.backend).await
     });
     let opened = tokio::select! {
@@ -106,7 +107,7 @@
     };
     if !opened.response.status().is_success() {
         forwarder.note_answer(call, &choice.backend, opened.response.status().is_server_error());
-        return Ok(unary::pass_opened(forwarder, call, opened).await.map(Begun::Answer)?);
+        return Ok(unary::pass_opened(forwarder, call, opened).await.map(AttemptStart::Answer)?);
     }
     let Opened { response, work, .. } = opened;
     let (parts, body) = response.into_parts();
@@ -130,21 +131,21 @@
     }
     forwarder.knowledge.health.note_heard(&choice.backend, running::now());
     source.work.begin_answer();
-    note_first_event(forwarder, call, choice, sent_at);
+    record_time_to_first_event(forwarder, call, choice, sent_at);
     forwarder.record_run(call);
     if let Some(prompt) = &call.prompt {
         forwarder.knowledge.prefixes.note_read(&choice.backend, prompt, Instant::now());
     }
     let head = StreamHead { status: parts.status, headers: forwarder.dialect.answer_headers(&parts.headers) };
-    Ok(Begun::Stream(Box::new(BegunStream { head, source, first })))
+    Ok(AttemptStart::Stream(Box::new(StartedStream { head, source, first })))
 }
 
-/// Notes how long the engine took to its first event. Events that were ready when asked for, as those of a
-/// stream that continues, tell as much.
-fn note_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
+/// Records the engine's time to first event. Events that were ready before the request, as in a resumed
+/// stream, count as well.
+fn record_time_to_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
     let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.knowledge.models;
-    models.note_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
+    models.record_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
     forwarder.note_answer(call, &choice.backend, choice.is_slow(took_ms));
 }
--- a/crates/beamwall-gateway/tests/admission.rs
+++ b/crates/beamwall-gateway/tests/admission.rs
@@ -1,23 +1,23 @@
-//! Which model requests are refused because nobody can serve them any more.
+//! Refusal of model requests that no engine can serve before their deadline.
 
 mod support;
 
 use std::time::Duration;
 
-use beamwall_engine_model::{FirstEvent, Reading, ServiceEstimates};
+use beamwall_engine_model::{FirstEventInputs, PrefillWork, ServiceEstimates};
 use beamwall_gateway::{Choice, admission};
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// The choice of an engine with so many tokens to read before.
+/// The choice of an engine that has `tokens_ahead` tokens to prefill before this request.
 fn choice(estimates: &ServiceEstimates, tokens_ahead: u64) -> Choice {
-    let reading = Reading::of_rest(0, 1_000);
+    let prefill = PrefillWork::of_uncached(0, 1_000);
     Choice {
         backend: "e0".into(),
         cost_ms: 0.0,
-        expected_ms: estimates.first_event_ms(FirstEvent { reading, tokens_ahead, running: 3 }),
+        expected_ms: estimates.first_event_ms(FirstEventInputs { prefill, tokens_ahead, running: 3 }),
         slowness: 1.0,
-        reading,
+        reading: prefill,
         tokens_ahead,
         open_requests: 3,
         failure_share: 0.0,
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn a_request_is_refused_when_the_best_engine_begins_after_its_caller_has_left() {
-    let estimates = support::observed().estimates();
+fn a_request_is_refused_when_the_best_engine_would_start_after_its_deadline() {
+    let estimates = support::typical_statistics().estimates();
     let remaining = Duration::from_secs(2);
     let check = |tokens| admission::check(&choice(&estimates, tokens), &estimates, remaining, OBJECTIVE);
-    assert_eq!(check(32_000), None, "a second of reading lies ahead");
-    let unservable = check(96_000).expect("three seconds lie ahead");
+    assert_eq!(check(32_000), None, "one second of prefill is queued");
+    let unservable = check(96_000).expect("three seconds of prefill are queued");
     assert!((2_900..3_100).contains(&unservable.expected.as_millis()), "{unservable:?}");
     assert_eq!(unservable.retry_after, unservable.expected - OBJECTIVE);
 }
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage counts of several lives of several nodes.
+//! Usage counts of several nodes over several generations of their processes.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -22,52 +22,52 @@
 }
 
 #[test]
-fn counts_of_killed_lives_stay_and_repeated_tellings_count_once() {
+fn counts_of_killed_processes_stay_and_repeated_reports_count_once() {
     let (here, before, after) =
         (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     before.record(&"alder".into(), second(11));
     here.merge(&"n1".into(), 1, before.recent(3));
     here.merge(&"n1".into(), 1, before.recent(3));
-    // The node is killed and counts anew in its next life.
+    // The node is killed and counts from zero in its next generation.
     after.record(&"alder".into(), second(12));
     after.record(&"alder".into(), second(13));
     here.merge(&"n1".into(), 2, after.recent(3));
-    // A telling of the earlier life that arrives late changes nothing.
+    // A late report of the earlier generation has no effect.
     here.merge(&"n1".into(), 1, before.recent(3));
     assert_eq!(here.total(2).counts, [("alder".into(), 3)].into());
 }
 
 #[test]
-fn a_node_that_starts_learns_what_ended_lives_counted() {
+fn a_starting_node_learns_the_counts_of_ended_processes() {
     let (killed, survivor, started) =
         (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     killed.record(&"alder".into(), second(11));
     survivor.merge(&"n1".into(), 1, killed.recent(3));
     for _ in 0..2 {
-        // Twice: what is known counts once.
-        for (node, life, counts) in survivor.lives(3) {
-            started.merge(&node, life, counts);
+        // Merging twice counts once.
+        for (node, generation, counts) in survivor.lives(3) {
+            started.merge(&node, generation, counts);
         }
     }
     started.record(&"alder".into(), second(12));
     assert_eq!(started.total(2).counts, [("alder".into(), 2)].into());
-    assert_eq!(started.sum_of_nodes(3), started.sum_of_nodes(1), "one window");
+    assert_eq!(started.sum_of_nodes(3), started.sum_of_nodes(1), "all requests are in one window");
 }
 
 #[test]
-fn lives_that_ended_long_ago_are_forgotten() {
+fn counts_of_processes_that_ended_long_ago_are_removed() {
     let ledger = UsageLedger::new(WINDOW);
-    for life in 0..100 {
+    for generation in 0..100 {
         let counted = UsageLedger::new(WINDOW);
-        counted.record(&"alder".into(), second(life * 5));
-        ledger.merge(&"n1".into(), life, counted.recent(3));
+        counted.record(&"alder".into(), second(generation * 5));
+        ledger.merge(&"n1".into(), generation, counted.recent(3));
     }
     assert!(ledger.lives(3).len() < 20);
     assert_eq!(ledger.total(99).counts, [("alder".into(), 1)].into());
 }
 
 #[test]
-fn old_windows_are_forgotten() {
+fn old_windows_are_removed() {
     let ledger = UsageLedger::new(WINDOW);
     for number in 0..100 {
         ledger.record(&"alder".into(), second(number * 5));
@@ -78,34 +78,35 @@
 }
 
 #[test]
-fn a_zone_counts_once_whichever_relay_tells_its_sum() {
+fn a_zone_counts_once_whichever_relay_reports_its_sum() {
     let (here, there) = (UsageLedger::new(WINDOW), UsageLedger::new(WINDOW));
     here.record(&"alder".into(), second(11));
     there.record(&"alder".into(), second(11));
     let one = there.sum_of_nodes(3);
     there.record(&"alder".into(), second(12));
     here.merge_zone(&"east".into(), there.sum_of_nodes(3));
-    // The sum of a relay that has heard less arrives later.
+    // A smaller sum, from a relay with fewer reports, arrives later.
     here.merge_zone(&"east".into(), one);
     assert_eq!(here.total(2).counts, [("alder".into(), 3)].into());
-    // What other zones told is not told to them again.
+    // Sums received from other zones are not sent back to them.
     assert_eq!(here.sum_of_nodes(3)[0].counts, [("alder".into(), 1)].into());
 }
 
-/// Guards against usage that is lost with all nodes: what was written down and what later lives count are summed.
+/// Guards against: usage is lost when all nodes end. The stored counts and those of later generations are
+/// added up.
 #[test]
-fn what_was_written_down_before_all_lives_ended_is_carried_on() {
+fn stored_counts_are_carried_over_when_all_processes_end() {
     let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
     let other = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
     before.record(&"alder".into(), second(10));
     other.record(&"alder".into(), second(11));
     before.merge(&"n2".into(), 1, other.recent(3));
-    let written = before.to_carry(2);
+    let stored = before.to_carry(2);
     let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(written);
+    after.carry(stored);
     after.record(&"alder".into(), second(13));
     assert_eq!(after.total(2).counts, [("alder".into(), 3)].into());
-    // And once more, with a life that is known from others as well.
+    // Carried over once more, with a generation that is also known from a peer.
     let last = UsageLedger::new(WINDOW).of_life(&"n3".into(), 1);
     last.merge(&"n2".into(), 1, other.recent(3));
     last.carry(after.to_carry(2));
@@ -113,32 +114,34 @@
     assert_eq!(last.total(2).counts, [("alder".into(), 3), ("birch".into(), 1)].into());
 }
 
-/// A successor that has heard the lives counts none of them twice, also where they went on counting.
+/// A new lease holder that has received the reports of running processes counts none of them twice, even if
+/// they continued to count after their counts were stored.
 #[test]
-fn lives_that_were_written_down_and_go_on_count_once() {
-    let holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
+fn stored_counts_of_running_processes_count_once() {
+    let lease_holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
     let successor = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
-    holder.record(&"alder".into(), second(10));
+    lease_holder.record(&"alder".into(), second(10));
     successor.record(&"alder".into(), second(10));
-    holder.merge(&"n2".into(), 1, successor.recent(3));
-    let written = holder.to_carry(2);
-    holder.record(&"alder".into(), second(11));
+    lease_holder.merge(&"n2".into(), 1, successor.recent(3));
+    let stored = lease_holder.to_carry(2);
+    lease_holder.record(&"alder".into(), second(11));
     successor.record(&"alder".into(), second(12));
-    successor.merge(&"n1".into(), 1, holder.recent(3));
-    successor.carry(written);
+    successor.merge(&"n1".into(), 1, lease_holder.recent(3));
+    successor.carry(stored);
     assert_eq!(successor.total(2).counts, [("alder".into(), 4)].into());
 }
 
-/// Whatever is killed when, nothing is counted twice, and nothing is lost that was told before it was written down.
+/// Whichever nodes are killed and when, no request is counted twice, and none is lost that was reported
+/// before the counts were stored.
 #[test]
-fn counts_are_at_least_what_was_written_down_and_at_most_what_ran() {
+fn totals_are_at_least_the_stored_counts_and_at_most_the_requests_run() {
     beamwall_seeds::on_seeds(2_000, |random| {
-        let mut lives = [0_u64; 3];
-        let new = |node: usize, life: u64| {
-            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), life)
+        let mut generations = [0_u64; 3];
+        let new = |node: usize, generation: u64| {
+            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), generation)
         };
         let mut nodes: Vec<UsageLedger> = (0..3).map(|node| new(node, 0)).collect();
-        let (mut ran, mut written, mut written_total) = (0, None, 0);
+        let (mut ran, mut stored, mut stored_total) = (0, None, 0);
         for _ in 0..random.int_in_range(1..=40)? {
             let node = random.int_in_range(0..=2)?;
             match random.int_in_range(0..=5)? {
@@ -147,22 +150,26 @@
                     ran += 1;
                 }
                 3 => {
-                    let told = nodes[node].recent(3);
+                    let report = nodes[node].recent(3);
                     for other in (0..3).filter(|other| *other != node) {
-                        nodes[other].merge(&format!("n{node}").as_str().into(), lives[node], told.clone());
+                        nodes[other].merge(
+                            &format!("n{node}").as_str().into(),
+                            generations[node],
+                            report.clone(),
+                        );
                     }
                 }
                 4 => {
-                    // One takes the duty over and writes down what it knows.
-                    nodes[node].carry(written.take().unwrap_or_default());
+                    // One node takes over the duty and stores its counts.
+                    nodes[node].carry(stored.take().unwrap_or_default());
                     let total = nodes[node].total(2).counts.values().sum();
-                    assert!(total >= written_total, "{total} of {written_total} written down");
-                    assert!(total <= ran, "{total} of {ran}");
-                    (written, written_total) = (Some(nodes[node].to_carry(0)), total);
+                    assert!(total >= stored_total, "total {total} is below the stored {stored_total}");
+                    assert!(total <= ran, "total {total} exceeds the {ran} requests run");
+                    (stored, stored_total) = (Some(nodes[node].to_carry(0)), total);
                 }
                 _ => {
-                    lives[node] += 1;
-                    nodes[node] = new(node, lives[node]);
+                    generations[node] += 1;
+                    nodes[node] = new(node, generations[node]);
                 }
             }
         }
@@ -170,8 +177,9 @@
     });
 }
 
-/// Known red: in a large deployment the sums of a zone whose nodes were all killed begin anew, and what was written down holds the
-/// earlier ones. The sums say nothing of lives, so the larger of both counts.
+/// Listed in KNOWN-RED.txt. In a large deployment the sums of a zone start from zero after all its nodes were
+/// killed, while the stored counts include the earlier sums. Sums carry no generation, so only the larger of
+/// both counts.
 #[test]
 fn what_zones_count_after_all_nodes_were_killed_comes_on_top() {
     let sum = |requests| vec![WindowCounts { window: 2, counts: [("alder".into(), requests)].into() }];
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_duties::{KeptOrder, OrderBook};
+use beamwall_duties::{OrderTracker, SavedOrder};
 use beamwall_events::emit;
 use beamwall_events::internal_events::{CapacityNotKnown, CapacityOrdered};
 use beamwall_gateway::ports::CapacityOrder;
@@ -24,7 +24,7 @@
 /// The orders of one lease term, and when to evaluate them next.
 #[derive(Debug, Default)]
 pub(super) struct OrderTerm {
-    book: OrderBook,
+    book: OrderTracker,
     next_check: Option<Instant>,
     /// Services whose unknown needs have been logged.
     logged_unknown: BTreeSet<ServiceName>,
@@ -32,8 +32,8 @@
 
 impl OrderTerm {
     /// Starts a term with the orders that the previous lease holder saved.
-    pub(super) fn resuming(saved: Vec<KeptOrder>) -> Self {
-        Self { book: OrderBook::continuing(saved, Instant::now()), ..Self::default() }
+    pub(super) fn resuming(saved: Vec<SavedOrder>) -> Self {
+        Self { book: OrderTracker::restore(saved, Instant::now()), ..Self::default() }
     }
 }
 
@@ -87,7 +87,7 @@
                 self.submit_order(order, needed, term, lease_hold).await;
             }
         }
-        self.checkpointer.note_orders(term.book.to_keep());
+        self.checkpointer.note_orders(term.book.to_saved());
     }
 
     /// Logs once per term each service whose back ends are kept because its needs are unknown.
@@ -107,7 +107,7 @@
         term: &mut OrderTerm,
         lease_hold: &LeaseHold,
     ) {
-        if !term.book.may_try(&OrderKey::of(&order), Instant::now()) {
+        if !term.book.may_attempt(&OrderKey::of(&order), Instant::now()) {
             return;
         }
         let Some(holder) = lease_hold.holder() else { return };
@@ -123,9 +123,9 @@
         });
         let now = Instant::now();
         match result {
-            Ok(()) => term.book.note_done(&order, now),
+            Ok(()) => term.book.record_placed(&order, now),
             Err(error) => {
-                let newly_exhausted = term.book.note_refused(&order, error == DutyError::Exhausted, now);
+                let newly_exhausted = term.book.record_failure(&order, error == DutyError::Exhausted, now);
                 if newly_exhausted {
                     // The exhausted supply is replaced by on-demand back ends from the next evaluation on.
                     term.next_check = None;
@@ -134,7 +134,7 @@
         }
     }
 
-    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderBook) -> ZoneSupply {
+    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderTracker) -> ZoneSupply {
         let directory = self.gateway.forwarder.directory.load();
         let usable = |reclaimable: bool| {
             let in_zone = directory.usable(&service.name).filter(|backend| &backend.zone == zone);
@@ -148,7 +148,7 @@
             reclaimable_usable: usable(true),
             // Without a saved order of the predecessor, the usable back ends are the result of what it
             // ordered.
-            lasting_ordered: book.ordered(&key(false)).unwrap_or(lasting_usable),
+            lasting_ordered: book.last_ordered(&key(false)).unwrap_or(lasting_usable),
             is_exhausted: book.is_exhausted(&key(true)),
         }
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderBook) -> Vec<CapacityOrder> {
+    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderTracker) -> Vec<CapacityOrder> {
         let Some(limits) = &service.scaling else { return Vec::new() };
         let zones: Vec<ZoneSupply> =
             limits.zone_prices.keys().map(|zone| self.supply(service, zone, book)).collect();
@@ -192,7 +192,7 @@
             needed,
             floor: self.floor(&service.name),
         };
-        scaling::note_usable(book.given_mut(), inputs.service, &zones);
-        scaling::due(&scaling::plan(&inputs), book.given(), &inputs, Instant::now())
+        scaling::note_usable(book.placed_mut(), inputs.service, &zones);
+        scaling::due(&scaling::plan(&inputs), book.placed(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/checkpoint.rs
+++ b/crates/beamwall-node/src/gateway/duties/checkpoint.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use beamwall_duties::{DutyCheckpoint, KeptOrder};
+use beamwall_duties::{DutyCheckpoint, SavedOrder};
 use beamwall_events::emit;
 use beamwall_events::internal_events::{DutiesNotKept, DutiesTakenOver};
 use beamwall_gateway::Gateway;
@@ -22,7 +22,7 @@
     needs: BTreeMap<ServiceName, Needed>,
     /// Needs that the previous lease holder saved.
     inherited_needs: BTreeMap<ServiceName, Needed>,
-    orders: Vec<KeptOrder>,
+    orders: Vec<SavedOrder>,
 }
 
 /// Saves and restores the state of the duties.
@@ -69,12 +69,12 @@
     }
 
     /// Records the current orders.
-    pub(super) fn note_orders(&self, orders: Vec<KeptOrder>) {
+    pub(super) fn note_orders(&self, orders: Vec<SavedOrder>) {
         self.lock().orders = orders;
     }
 
     /// The last orders known to this node.
-    pub(super) fn orders(&self) -> Vec<KeptOrder> {
+    pub(super) fn orders(&self) -> Vec<SavedOrder> {
         self.lock().orders.clone()
     }
 
--- a/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
+++ b/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
@@ -39,7 +39,7 @@
             self.first_request.get_or_insert_with(Instant::now);
         }
         let newest = requested.unwrap_or_default();
-        self.work = newest.max(self.work.mixed_with(newest, DECAY_WEIGHT));
+        self.work = newest.max(self.work.weighted_mean(newest, DECAY_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
         if self.is_demand_unknown() && directory.is_whole() {
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -9,7 +9,9 @@
 use beamwall_events::internal_events::{RolloutDecided, RolloutStaged, RolloutStatusNotWritten};
 use beamwall_gateway::Gateway;
 use beamwall_gateway::ports::RolloutStore;
-use beamwall_rollout::{Bounds, Finding, OrderId, OrderNews, Rollout, StageNews, Supply, Verdict};
+use beamwall_rollout::{
+    Bounds, Finding, OrderId, OrderUpdate, Rollout, StageUpdate, Verdict, VersionCapacity,
+};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -54,7 +56,7 @@
         }
     }
 
-    fn decide(&self, term: &mut RolloutTerm, order_update: &OrderNews, epoch: u64, now: Instant) {
+    fn decide(&self, term: &mut RolloutTerm, order_update: &OrderUpdate, epoch: u64, now: Instant) {
         let book = &self.gateway.forwarder.rollouts;
         let id = &order_update.order.id;
         let began = now.checked_sub(order_update.age).unwrap_or(now);
@@ -62,13 +64,13 @@
             .running
             .entry(id.clone())
             .or_insert_with(|| Rollout::new(order_update.order.clone(), self.bounds, began));
-        rollout.hear(order_update.verdict);
+        rollout.apply_verdict(order_update.verdict);
         let was_final = rollout.verdict().is_final();
         let supply = self.supply(id);
-        let verdict = rollout.look(&book.evidence(id), supply, now);
+        let verdict = rollout.evaluate(&book.evidence(id), supply, now);
         if verdict.is_final() && !was_final {
             log_decision(rollout, verdict, supply);
-            book.hear_verdict(id, verdict, now);
+            book.merge_verdict(id, verdict, now);
         }
         let stage = rollout.stage();
         if stage.takes_all() && term.staged.insert(id.clone()) {
@@ -77,13 +79,13 @@
                 target: id.target.to_string(),
                 new: supply.new.to_string(),
                 old: supply.old.to_string(),
-                left_ms: rollout.left(now).as_millis().to_string(),
+                left_ms: rollout.time_left(now).as_millis().to_string(),
             });
         }
         if !was_final {
             term.stage_updates += 1;
-            let mark = (epoch, term.stage_updates);
-            book.hear_stage(&StageNews { order: id.clone(), mark, stage, age: Duration::ZERO }, now);
+            let sequence = (epoch, term.stage_updates);
+            book.merge_stage(&StageUpdate { order: id.clone(), sequence, stage, age: Duration::ZERO }, now);
             self.heartbeat_trigger.notify_one();
         }
     }
@@ -105,10 +107,10 @@
         }
     }
 
-    fn supply(&self, id: &OrderId) -> Supply {
+    fn supply(&self, id: &OrderId) -> VersionCapacity {
         let directory = self.gateway.forwarder.directory.load();
         let loads = &self.gateway.forwarder.knowledge.loads;
-        let mut supply = Supply::default();
+        let mut supply = VersionCapacity::default();
         for backend in directory.backends().filter(|backend| backend.service == id.service) {
             let is_new = backend.version == id.target;
             supply.new += usize::from(is_new && !backend.draining);
@@ -121,7 +123,7 @@
     }
 }
 
-fn log_decision(rollout: &Rollout, verdict: Verdict, supply: Supply) {
+fn log_decision(rollout: &Rollout, verdict: Verdict, supply: VersionCapacity) {
     let id = &rollout.order().id;
     emit(&RolloutDecided {
         service: id.service.to_string(),
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -89,7 +89,7 @@
         let Some(due) = self.due_window(&window_progress, fixed) else { return };
         let Some(counts) = self.fix(progress, due).await else { return };
         let Some(holder) = lease_hold.holder() else { return };
-        let after = self.clock().ended_for(due, self.window_length).unwrap_or_default();
+        let after = self.clock().time_since_end(due, self.window_length).unwrap_or_default();
         let unheard = self.exchange.members_not_heard();
         let result = self.port.report_usage(&holder, &counts).await;
         emit(&UsageReported {
@@ -116,13 +116,13 @@
     fn due_window(&self, window_progress: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
         let timing = UsageTiming {
             window: self.window_length,
-            settles: if self.exchange.is_large_deployment() {
+            settle_delay: if self.exchange.is_large_deployment() {
                 USAGE_SETTLE_TIME_LARGE
             } else {
                 USAGE_SETTLE_TIME
             },
-            waits: SILENT_NODE_WAIT,
-            forgotten: REPORT_DEADLINE,
+            silent_node_wait: SILENT_NODE_WAIT,
+            max_age: REPORT_DEADLINE,
         };
         let is_complete = self.exchange.members_not_heard() == 0;
         window_progress.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
@@ -131,7 +131,7 @@
     fn clock(&self) -> WindowClock {
         let now = self.gateway.forwarder.clock.now();
         let (current, passed) = self.gateway.forwarder.usage.window_at(now);
-        WindowClock { current, passed }
+        WindowClock { current, elapsed: passed }
     }
 
     /// Reads the fixed counts. If another writer has overwritten them, it is unknown which windows were
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -207,7 +207,7 @@
         // The tick publishes when each member was last heard.
         let Ok(tick) = self.membership.ask(Tick).await else { return };
         self.share_limits();
-        let quota_uses = heartbeat_wire::encode_quota_uses(self.gateway.quotas.tell());
+        let quota_uses = heartbeat_wire::encode_quota_uses(self.gateway.quotas.take_report());
         let demands = heartbeat_wire::encode_demands(self.close_demand_period());
         self.fit_models();
         self.note_silent_zones();
@@ -473,6 +473,6 @@
         }
         self.apply_observations(&reporter, &heartbeat.models, &heartbeat.slowness);
         let uses = heartbeat_wire::decode_quota_uses(&heartbeat.quota_uses);
-        self.gateway.quotas.hear(&node, heartbeat.life, uses, Instant::now());
+        self.gateway.quotas.merge_node_usage(&node, heartbeat.life, uses, Instant::now());
     }
 }
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -172,7 +172,7 @@
 
     /// Sets the gauges of quotas and retry budgets; removed tenants and services lose their series.
     fn refresh_limits(&self, gateway: &Gateway) {
-        self.nodes_heard.set(gateway.quotas.sharing().heard as i64);
+        self.nodes_heard.set(gateway.quotas.membership().reachable as i64);
         self.quota_level.reset();
         for (tenant, level) in gateway.quotas.levels() {
             self.quota_level.with_label_values(&[tenant.as_str()]).set(level);
--- a/crates/beamwall-node/src/gateway/heartbeat_wire.rs
+++ b/crates/beamwall-node/src/gateway/heartbeat_wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use beamwall_engine_model::{ServiceStatistics, ToldSlowness, Workload};
+use beamwall_engine_model::{ServiceStatistics, SlownessObservation, Workload};
 use beamwall_gateway::load::OpenLoad;
 use beamwall_gateway::usage::WindowCounts;
 use beamwall_model::{BackendId, ServiceName, TenantName};
@@ -89,8 +89,8 @@
 }
 
 /// Encodes slowness observations of single back ends.
-pub fn encode_slowness(observed: Vec<(BackendId, ToldSlowness)>) -> Vec<BackendSlowness> {
-    let encode = |(backend, observation): (BackendId, ToldSlowness)| BackendSlowness {
+pub fn encode_slowness(observed: Vec<(BackendId, SlownessObservation)>) -> Vec<BackendSlowness> {
+    let encode = |(backend, observation): (BackendId, SlownessObservation)| BackendSlowness {
         backend: backend.to_string(),
         logarithms: observation.logarithms as f32,
         weight: observation.weight as f32,
@@ -99,9 +99,10 @@
 }
 
 /// Decodes slowness observations of single back ends.
-pub fn decode_slowness(messages: &[BackendSlowness]) -> Vec<(BackendId, ToldSlowness)> {
+pub fn decode_slowness(messages: &[BackendSlowness]) -> Vec<(BackendId, SlownessObservation)> {
     let decode = |one: &BackendSlowness| {
-        let observed = ToldSlowness { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
+        let observed =
+            SlownessObservation { logarithms: f64::from(one.logarithms), weight: f64::from(one.weight) };
         (BackendId::new(&one.backend), observed)
     };
     messages.iter().map(decode).collect()
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -54,7 +54,7 @@
 use beamwall_gateway::metrics::GatewayMetrics;
 use beamwall_gateway::ports::RolloutStore;
 use beamwall_gateway::quarantine::{Quarantine, TrialPort};
-use beamwall_gateway::quota::{QuotaBook, Tolerance};
+use beamwall_gateway::quota::{QuotaLimiter, Tolerance};
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{ControlStore, Dialect, Directory, DutyPort, Gateway, GatewayHandler, PlacementPort};
@@ -62,8 +62,8 @@
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork, TransferPacer};
 use beamwall_policy::PolicyArchive;
-use beamwall_quarantine::QuarantineBook;
-use beamwall_rollout::RolloutBook;
+use beamwall_quarantine::QuarantineRegistry;
+use beamwall_rollout::RolloutRegistry;
 use beamwall_store::VersionedObjects;
 use kameo::actor::Spawn;
 use prometheus::Registry;
@@ -161,7 +161,7 @@
         let generation = new_generation();
         let members = Arc::new(ArcSwap::default());
         let placement = Arc::new(PeerPlacement::new(&settings, network.clone(), members.clone()));
-        let (book, clock): (Arc<QuarantineBook>, Arc<FleetClock>) = Default::default();
+        let (book, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
         let stored_quarantine = StoredQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
         let stored_quarantine = Arc::new(stored_quarantine);
         let quarantine = QuarantineParts { book, clock, trials: stored_quarantine.clone() };
@@ -284,7 +284,7 @@
 
 /// Parts of the quarantine besides the pool and the directory.
 struct QuarantineParts {
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
 }
@@ -328,7 +328,7 @@
         chooser: Chooser::new(settings.choice),
         placement,
         demand: DemandBook::default(),
-        rollouts: RolloutBook::default(),
+        rollouts: RolloutRegistry::default(),
         retries: RetryBudgets::new(retries, nodes),
         usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, generation),
         clock,
@@ -336,14 +336,14 @@
         metrics: GatewayMetrics::new(registry)?,
     });
     let tolerance = Tolerance {
-        usual: settings.quota_overage * QUOTA_OVERAGE_USED,
+        sustained: settings.quota_overage * QUOTA_OVERAGE_USED,
         in_window: settings.quota_overage,
         at_start: settings.quota_overage * QUOTA_OVERAGE_USED_AT_START,
         window: settings.quota_window,
     };
-    let quotas = QuotaBook::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
-        .tolerating(tolerance)
-        .started_at(generation);
+    let quotas = QuotaLimiter::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
+        .with_tolerance(tolerance)
+        .with_generation(generation);
     Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
 }
 
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -43,7 +43,7 @@
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let slowness = heartbeat_wire::encode_slowness(models.own_slowness(Instant::now()));
-        let reported = if self.is_model_report_due() { models.own() } else { Vec::new() };
+        let reported = if self.is_model_report_due() { models.own_statistics() } else { Vec::new() };
         (heartbeat_wire::encode_models(reported), slowness)
     }
 
@@ -51,8 +51,8 @@
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
         let models = &self.gateway.forwarder.knowledge.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
-        let slowness = heartbeat_wire::encode_slowness(models.slowness_of(is_node, Instant::now()));
-        (heartbeat_wire::encode_models(models.sum_of(is_node)), slowness)
+        let slowness = heartbeat_wire::encode_slowness(models.merged_slowness(is_node, Instant::now()));
+        (heartbeat_wire::encode_models(models.merged_statistics(is_node)), slowness)
     }
 
     /// Applies the observations of another node or zone. A heartbeat without service statistics leaves the
@@ -65,7 +65,7 @@
     ) {
         let known = &self.gateway.forwarder.knowledge.models;
         if !models.is_empty() {
-            known.set_peer(reporter, heartbeat_wire::decode_models(models));
+            known.set_peer_statistics(reporter, heartbeat_wire::decode_models(models));
         }
         known.set_peer_slowness(reporter, heartbeat_wire::decode_slowness(slowness), Instant::now());
     }
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -55,7 +55,7 @@
 
     /// Sends all evidence to a peer if the link has room for it; otherwise the peer asks again later.
     pub(super) fn send_all_evidence(&self, envelope: &Envelope) {
-        let whole = encode(&self.gateway.forwarder.quarantine.book.whole());
+        let whole = encode(&self.gateway.forwarder.quarantine.book.all_evidence());
         if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
             self.reply(envelope, Body::QuarantineNews(whole));
         }
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -3,11 +3,11 @@
 use beamwall_model::BackendId;
 use beamwall_peer::quarantine_message::{QuarantineNews, ToldCompletion, ToldEnding, ToldTrial};
 use beamwall_quarantine::fingerprint::FINGERPRINT_BYTES;
-use beamwall_quarantine::{Completion, Ending, Evidence, Fingerprint, Trial};
+use beamwall_quarantine::{Completion, Evidence, Fingerprint, Termination, Trial};
 
 /// Encodes evidence.
 pub fn encode(evidence: &Evidence) -> QuarantineNews {
-    let ending = |ending: &Ending| ToldEnding {
+    let ending = |ending: &Termination| ToldEnding {
         backend: ending.backend.to_string(),
         at_ms: ending.at_ms,
         open: ending.open.iter().flat_map(|request| *request.as_bytes()).collect(),
@@ -30,7 +30,7 @@
 
 /// Decodes evidence; entries without a valid fingerprint are skipped.
 pub fn decode(news: &QuarantineNews) -> Evidence {
-    let ending = |wire_entry: &ToldEnding| Ending {
+    let ending = |wire_entry: &ToldEnding| Termination {
         backend: BackendId::new(&wire_entry.backend),
         at_ms: wire_entry.at_ms,
         open: wire_entry.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -8,7 +8,7 @@
     RolloutNews, ToldAnswers, ToldEvidence, ToldOrder, ToldOrderId, ToldStage,
 };
 use beamwall_rollout::{
-    AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderNews, RolloutOrder, Stage, StageNews, Verdict,
+    AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderUpdate, RolloutOrder, Stage, StageUpdate, Verdict,
 };
 
 fn encode_id(id: &OrderId) -> Option<ToldOrderId> {
@@ -42,8 +42,8 @@
 
 /// Encodes the rollouts; `None` if there are none.
 pub fn encode(
-    orders: Vec<OrderNews>,
-    stages: Vec<StageNews>,
+    orders: Vec<OrderUpdate>,
+    stages: Vec<StageUpdate>,
     evidence: Vec<(OrderId, Evidence)>,
 ) -> Option<RolloutNews> {
     (!orders.is_empty()).then(|| RolloutNews {
@@ -53,7 +53,7 @@
     })
 }
 
-fn encode_order(rollout_update: &OrderNews) -> ToldOrder {
+fn encode_order(rollout_update: &OrderUpdate) -> ToldOrder {
     ToldOrder {
         id: encode_id(&rollout_update.order.id),
         interval_ms: to_ms(rollout_update.order.interval),
@@ -64,11 +64,11 @@
     }
 }
 
-fn encode_stage(rollout_update: &StageNews) -> ToldStage {
+fn encode_stage(rollout_update: &StageUpdate) -> ToldStage {
     ToldStage {
         id: encode_id(&rollout_update.order),
-        epoch: rollout_update.mark.0,
-        number: rollout_update.mark.1,
+        epoch: rollout_update.sequence.0,
+        number: rollout_update.sequence.1,
         share: rollout_update.stage.share,
         back_ends: rollout_update.stage.back_ends as u64,
         takes_all_in_ms: rollout_update.stage.takes_all_in.map(to_ms),
@@ -114,9 +114,9 @@
 }
 
 /// Decodes orders.
-pub fn decode_orders(news: &RolloutNews) -> Vec<OrderNews> {
+pub fn decode_orders(news: &RolloutNews) -> Vec<OrderUpdate> {
     let decode = |wire_entry: &ToldOrder| {
-        Some(OrderNews {
+        Some(OrderUpdate {
             order: RolloutOrder {
                 id: decode_id(wire_entry.id.as_ref())?,
                 interval: Duration::from_millis(wire_entry.interval_ms),
@@ -131,11 +131,11 @@
 }
 
 /// Decodes stages.
-pub fn decode_stages(news: &RolloutNews) -> Vec<StageNews> {
+pub fn decode_stages(news: &RolloutNews) -> Vec<StageUpdate> {
     let decode = |wire_entry: &ToldStage| {
-        Some(StageNews {
+        Some(StageUpdate {
             order: decode_id(wire_entry.id.as_ref())?,
-            mark: (wire_entry.epoch, wire_entry.number),
+            sequence: (wire_entry.epoch, wire_entry.number),
             stage: Stage {
                 share: wire_entry.share.clamp(0.0, 1.0),
                 back_ends: usize::try_from(wire_entry.back_ends).unwrap_or(usize::MAX),
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -11,7 +11,7 @@
 use beamwall_gateway::ports::{ListedOrder, ListedOrders, RolloutStore};
 use beamwall_model::{NodeId, ServiceName, ZoneName};
 use beamwall_peer::rollout_message::RolloutNews;
-use beamwall_rollout::{OrderNews, RolloutBook};
+use beamwall_rollout::{OrderUpdate, RolloutRegistry};
 
 use crate::gateway::exchange::PeerExchange;
 use crate::gateway::rollout_wire;
@@ -70,7 +70,7 @@
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
         let book = self.exchange.rollouts();
-        let mut has_changed = book.keep_only(&services, listed.revision);
+        let mut has_changed = book.withdraw_unlisted(&services, listed.revision);
         for order in listed.orders {
             has_changed |= apply_listed_order(book, order);
         }
@@ -81,8 +81,8 @@
     }
 }
 
-fn apply_listed_order(book: &RolloutBook, listed: ListedOrder) -> bool {
-    let order_update = OrderNews {
+fn apply_listed_order(book: &RolloutRegistry, listed: ListedOrder) -> bool {
+    let order_update = OrderUpdate {
         order: listed.order,
         revision: listed.revision,
         age: Duration::ZERO,
@@ -93,7 +93,7 @@
 }
 
 /// Applies an order and logs it if it changed.
-fn merge_order_update(book: &RolloutBook, order_update: OrderNews) -> bool {
+fn merge_order_update(book: &RolloutRegistry, order_update: OrderUpdate) -> bool {
     let event = RolloutOrdered {
         service: order_update.order.id.service.to_string(),
         target: order_update.order.id.target.to_string(),
@@ -101,7 +101,7 @@
         verdict: format!("{:?}", order_update.verdict),
         withdrawn: order_update.is_withdrawn.to_string(),
     };
-    let is_new = book.hear_order(order_update, beamwall_clock::now());
+    let is_new = book.merge_order(order_update, beamwall_clock::now());
     if is_new {
         emit(&event);
     }
@@ -110,7 +110,7 @@
 
 impl PeerExchange {
     /// The orders known to this node.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutRegistry {
         &self.gateway.forwarder.rollouts
     }
 
@@ -129,13 +129,13 @@
     /// Applies the rollouts and the evidence reported by a node.
     pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, news: &RolloutNews) {
         self.apply_rollout_news(news);
-        self.rollouts().hear_node(node, generation, &rollout_wire::decode_evidence(news));
+        self.rollouts().merge_node_evidence(node, generation, &rollout_wire::decode_evidence(news));
     }
 
     /// Applies the rollouts reported by a relay and the evidence of its zone.
     pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, news: &RolloutNews) {
         self.apply_rollout_news(news);
-        self.rollouts().hear_zone(zone, &rollout_wire::decode_evidence(news));
+        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(news));
     }
 
     /// Applies orders and stages; a changed order triggers a heartbeat at once.
@@ -146,7 +146,7 @@
             has_changed |= merge_order_update(book, order);
         }
         for stage in rollout_wire::decode_stages(news) {
-            let is_new = book.hear_stage(&stage, beamwall_clock::now());
+            let is_new = book.merge_stage(&stage, beamwall_clock::now());
             // When the new version takes all requests, its evidence must reach other nodes without delay.
             has_changed |=
                 is_new && stage.stage.takes_all_in.is_some_and(|left| left <= IMMEDIATE_REPORT_WINDOW);
--- a/crates/beamwall-node/src/gateway/stored_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/stored_quarantine.rs
@@ -13,7 +13,7 @@
 use beamwall_events::internal_events::HeldRequestsNotKept;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::quarantine::TrialPort;
-use beamwall_quarantine::{Evidence, Fingerprint, QuarantineBook, Suspect};
+use beamwall_quarantine::{Evidence, Fingerprint, QuarantineRegistry, Suspect};
 use beamwall_store::object::{ABSENT, Object, ObjectError, VersionedObjects};
 use bytes::Bytes;
 
@@ -30,7 +30,7 @@
 /// The object in the store.
 pub struct StoredQuarantine {
     objects: Arc<dyn VersionedObjects>,
-    book: Arc<QuarantineBook>,
+    book: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     /// Digest of the last write.
     written_digest: AtomicU64,
@@ -41,7 +41,7 @@
     /// Stores the held requests of `book`.
     pub fn new(
         objects: Arc<dyn VersionedObjects>,
-        book: Arc<QuarantineBook>,
+        book: Arc<QuarantineRegistry>,
         clock: Arc<FleetClock>,
     ) -> Self {
         Self {
@@ -56,7 +56,7 @@
     /// Writes the held requests if they have changed; used by the node that holds the duties lease. A failure
     /// is logged and retried a period later.
     pub async fn write_if_due(&self) {
-        let digest = self.book.kept_digest();
+        let digest = self.book.persistent_digest();
         if digest == self.written_digest.load(Ordering::Relaxed) || !self.write_throttle.admit(WRITE_PERIOD) {
             return;
         }
@@ -70,7 +70,7 @@
     /// peers.
     pub async fn restore(&self) {
         if let Some(object) = read_at_start(self.objects.as_ref(), KEY, log_not_stored).await {
-            self.book.hear(decode(&parse_object(&object)), self.clock.now_ms());
+            self.book.merge_evidence(decode(&parse_object(&object)), self.clock.now_ms());
         }
     }
 
@@ -79,9 +79,9 @@
         let stored = self.objects.get(KEY).await?;
         if let Some(stored) = &stored {
             // A trial may have been granted to a node that has not announced it.
-            self.book.hear(decode(&parse_object(stored)), self.clock.now_ms());
+            self.book.merge_evidence(decode(&parse_object(stored)), self.clock.now_ms());
         }
-        let mut requests = encode(self.book.kept());
+        let mut requests = encode(self.book.persistent_suspects());
         if !change(&mut requests) {
             return Ok(false);
         }
@@ -134,5 +134,5 @@
 fn decode(requests: &StoredRequests) -> Evidence {
     let named = requests.iter().filter_map(|(name, suspect)| Some((Fingerprint::from_hex(name)?, suspect)));
     let suspects: Vec<(Fingerprint, &Suspect)> = named.collect();
-    Evidence::of(suspects.iter().map(|(request, suspect)| (request, *suspect)))
+    Evidence::from_suspects(suspects.iter().map(|(request, suspect)| (request, *suspect)))
 }
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -184,7 +184,7 @@
         forwarder.usage.merge_zone(&zone, heartbeat_wire::decode_usage(summary.usage));
         let relay = NodeId::new(&summary.relay);
         let uses = heartbeat_wire::decode_quota_uses(&summary.quota_uses);
-        self.gateway.quotas.hear_zone(&zone, &relay, summary.life, uses, Instant::now());
+        self.gateway.quotas.merge_zone_usage(&zone, &relay, summary.life, uses, Instant::now());
         if let Some(news) = &summary.rollouts {
             self.apply_zone_rollouts(&zone, news);
         }
@@ -236,7 +236,7 @@
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_reporter(&Reporter::Node(member.node.clone()));
             self.gateway.forwarder.usage.forget_node(&member.node);
-            self.rollouts().forget_node(&member.node);
+            self.rollouts().remove_node_evidence(&member.node);
         }
     }
 
@@ -244,6 +244,6 @@
     pub(super) fn forget_reporter(&self, reporter: &Reporter) {
         self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
         self.gateway.forwarder.demand.forget_peer(reporter);
-        self.gateway.forwarder.knowledge.models.forget_peer(reporter);
+        self.gateway.forwarder.knowledge.models.remove_peer(reporter);
     }
 }
