--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -24,7 +24,7 @@
 /// The orders of one lease term, and when to evaluate them next.
 #[derive(Debug, Default)]
 pub(super) struct OrderTerm {
-    book: OrderTracker,
+    tracker: OrderTracker,
     next_check: Option<Instant>,
     /// Services whose unknown needs have been logged.
     logged_unknown: BTreeSet<ServiceName>,
@@ -33,7 +33,7 @@
 impl OrderTerm {
     /// Starts a term with the orders that the previous lease holder saved.
     pub(super) fn resuming(saved: Vec<SavedOrder>) -> Self {
-        Self { book: OrderTracker::restore(saved, Instant::now()), ..Self::default() }
+        Self { tracker: OrderTracker::restore(saved, Instant::now()), ..Self::default() }
     }
 }
 
@@ -83,11 +83,11 @@
         let services = policy.policy().services.iter().filter(is_settled);
         for service in services.filter(|service| !is_moving(service)) {
             let needed = self.needed(policy.policy(), service);
-            for order in self.orders_for(service, needed, &mut term.book) {
+            for order in self.orders_for(service, needed, &mut term.tracker) {
                 self.submit_order(order, needed, term, lease_hold).await;
             }
         }
-        self.checkpointer.note_orders(term.book.to_saved());
+        self.checkpointer.note_orders(term.tracker.to_saved());
     }
 
     /// Logs once per term each service whose back ends are kept because its needs are unknown.
@@ -107,7 +107,7 @@
         term: &mut OrderTerm,
         lease_hold: &LeaseHold,
     ) {
-        if !term.book.may_attempt(&OrderKey::of(&order), Instant::now()) {
+        if !term.tracker.may_attempt(&OrderKey::of(&order), Instant::now()) {
             return;
         }
         let Some(holder) = lease_hold.holder() else { return };
@@ -123,9 +123,9 @@
         });
         let now = Instant::now();
         match result {
-            Ok(()) => term.book.record_placed(&order, now),
+            Ok(()) => term.tracker.record_placed(&order, now),
             Err(error) => {
-                let newly_exhausted = term.book.record_failure(&order, error == DutyError::Exhausted, now);
+                let newly_exhausted = term.tracker.record_failure(&order, error == DutyError::Exhausted, now);
                 if newly_exhausted {
                     // The exhausted supply is replaced by on-demand back ends from the next evaluation on.
                     term.next_check = None;
@@ -134,7 +134,7 @@
         }
     }
 
-    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderTracker) -> ZoneSupply {
+    fn supply(&self, service: &Service, zone: &ZoneName, tracker: &OrderTracker) -> ZoneSupply {
         let directory = self.gateway.forwarder.directory.load();
         let usable = |reclaimable: bool| {
             let in_zone = directory.usable(&service.name).filter(|backend| &backend.zone == zone);
@@ -148,8 +148,8 @@
             reclaimable_usable: usable(true),
             // Without a saved order of the predecessor, the usable back ends are the result of what it
             // ordered.
-            lasting_ordered: book.last_ordered(&key(false)).unwrap_or(lasting_usable),
-            is_exhausted: book.is_exhausted(&key(true)),
+            lasting_ordered: tracker.last_ordered(&key(false)).unwrap_or(lasting_usable),
+            is_exhausted: tracker.is_exhausted(&key(true)),
         }
     }
 
@@ -181,10 +181,15 @@
         }
     }
 
-    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderTracker) -> Vec<CapacityOrder> {
+    fn orders_for(
+        &self,
+        service: &Service,
+        needed: Needed,
+        tracker: &mut OrderTracker,
+    ) -> Vec<CapacityOrder> {
         let Some(limits) = &service.scaling else { return Vec::new() };
         let zones: Vec<ZoneSupply> =
-            limits.zone_prices.keys().map(|zone| self.supply(service, zone, book)).collect();
+            limits.zone_prices.keys().map(|zone| self.supply(service, zone, tracker)).collect();
         let inputs = ScalingInputs {
             service: &service.name,
             limits,
@@ -192,7 +197,7 @@
             needed,
             floor: self.floor(&service.name),
         };
-        scaling::note_usable(book.placed_mut(), inputs.service, &zones);
-        scaling::due(&scaling::plan(&inputs), book.placed(), &inputs, Instant::now())
+        scaling::note_usable(tracker.placed_mut(), inputs.service, &zones);
+        scaling::due(&scaling::plan(&inputs), tracker.placed(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -57,7 +57,7 @@
     }
 
     fn decide(&self, term: &mut RolloutTerm, order_update: &OrderUpdate, epoch: u64, now: Instant) {
-        let book = &self.gateway.forwarder.rollouts;
+        let registry = &self.gateway.forwarder.rollouts;
         let id = &order_update.order.id;
         let began = now.checked_sub(order_update.age).unwrap_or(now);
         let rollout = term
@@ -67,10 +67,10 @@
         rollout.apply_verdict(order_update.verdict);
         let was_final = rollout.verdict().is_final();
         let supply = self.supply(id);
-        let verdict = rollout.evaluate(&book.evidence(id), supply, now);
+        let verdict = rollout.evaluate(&registry.evidence(id), supply, now);
         if verdict.is_final() && !was_final {
             log_decision(rollout, verdict, supply);
-            book.merge_verdict(id, verdict, now);
+            registry.merge_verdict(id, verdict, now);
         }
         let stage = rollout.stage();
         if stage.takes_all() && term.staged.insert(id.clone()) {
@@ -85,7 +85,8 @@
         if !was_final {
             term.stage_updates += 1;
             let sequence = (epoch, term.stage_updates);
-            book.merge_stage(&StageUpdate { order: id.clone(), sequence, stage, age: Duration::ZERO }, now);
+            registry
+                .merge_stage(&StageUpdate { order: id.clone(), sequence, stage, age: Duration::ZERO }, now);
             self.heartbeat_trigger.notify_one();
         }
     }
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -130,8 +130,8 @@
 
     fn clock(&self) -> WindowClock {
         let now = self.gateway.forwarder.clock.now();
-        let (current, passed) = self.gateway.forwarder.usage.window_at(now);
-        WindowClock { current, elapsed: passed }
+        let (current, elapsed) = self.gateway.forwarder.usage.window_at(now);
+        WindowClock { current, elapsed }
     }
 
     /// Reads the fixed counts. If another writer has overwritten them, it is unknown which windows were
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -296,7 +296,7 @@
             life: self.generation,
             usage: heartbeat_wire::encode_usage(forwarder.usage.recent(REPORTED_WINDOWS)),
             members_known: u32::try_from(self.members.load().members.len()).unwrap_or(u32::MAX),
-            rollouts: self.node_rollout_news(),
+            rollouts: self.node_rollout_update(),
             time_ms: since_1970_ms(SystemTime::now()),
             quarantine_digest: self.quarantine_digest(),
         }
@@ -365,14 +365,14 @@
         }
         match body {
             Some(Body::GatewayBeat(heartbeat)) => self.handle_heartbeat(&envelope, heartbeat),
-            Some(Body::VersionNews(news)) => self.handle_versions(&envelope, news),
+            Some(Body::VersionNews(update)) => self.handle_versions(&envelope, update),
             Some(Body::ZoneSummary(summary)) => self.handle_zone_summary(&envelope, summary),
             Some(Body::ProbeRequest(probe)) => self.probe_on_behalf(&probe),
             Some(Body::PolicyRequest(request)) => {
                 let answer = self.policies.answer(request, Instant::now());
                 self.reply(&envelope, Body::PolicyAnswer(answer));
             }
-            Some(Body::QuarantineNews(news)) => self.handle_quarantine_news(&envelope, &news),
+            Some(Body::QuarantineNews(update)) => self.handle_quarantine_update(&envelope, &update),
             Some(Body::QuarantineRequest(_)) => self.send_all_evidence(&envelope),
             Some(Body::UsageRequest(_)) => self.answer_usage(&envelope),
             Some(Body::DirectoryRequest(request)) => {
@@ -446,7 +446,7 @@
     fn note_generation(&self, envelope: &Envelope, body: Option<&Body>) {
         let generation = match body {
             Some(Body::GatewayBeat(heartbeat)) => heartbeat.life,
-            Some(Body::VersionNews(news)) => news.life,
+            Some(Body::VersionNews(update)) => update.life,
             _ => 0,
         };
         if generation > 0 && self.is_direct_peer(envelope) {
@@ -461,8 +461,8 @@
     /// Applies a node's report of its own work.
     fn apply_node_report(&self, sender: &str, heartbeat: GatewayBeat) {
         let node = NodeId::new(sender);
-        if let Some(news) = &heartbeat.rollouts {
-            self.apply_node_rollouts(&node, heartbeat.life, news);
+        if let Some(update) = &heartbeat.rollouts {
+            self.apply_node_rollouts(&node, heartbeat.life, update);
         }
         let reporter = Reporter::Node(node.clone());
         let forwarder = &self.gateway.forwarder;
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -148,9 +148,9 @@
         for (kind, bytes) in traffic.sent_bytes_by_kind() {
             self.peer_sent_bytes_by_kind.with_label_values(&[kind]).set(bytes as f64);
         }
-        let book = &gateway.forwarder.quarantine.book;
-        self.requests_held.set(book.held().len() as i64);
-        self.requests_suspected.set(book.suspects() as i64);
+        let quarantine_registry = &gateway.forwarder.quarantine.book;
+        self.requests_held.set(quarantine_registry.held().len() as i64);
+        self.requests_suspected.set(quarantine_registry.suspects() as i64);
         self.peers_ended_abruptly.set(exchange.peer_restarts.ended_abruptly() as i64);
         // New quota accounts are otherwise opened with the heartbeat after a policy change; a scrape before
         // it shows them too.
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -27,13 +27,13 @@
     }
 
     fn recorded_usage(&self) -> UsageKnown {
-        let encode_life = |(node, life, usage): (NodeId, u64, Vec<_>)| LifeUsage {
+        let encode_generation = |(node, generation, usage): (NodeId, u64, Vec<_>)| LifeUsage {
             node: node.to_string(),
-            life,
+            life: generation,
             usage: heartbeat_wire::encode_usage(usage),
         };
-        let lives = self.gateway.forwarder.usage.lives(REPORTED_WINDOWS);
-        UsageKnown { lives: lives.into_iter().map(encode_life).collect() }
+        let generations = self.gateway.forwarder.usage.lives(REPORTED_WINDOWS);
+        UsageKnown { lives: generations.into_iter().map(encode_generation).collect() }
     }
 
     /// Requests the recorded usage from the longest-running member, until one answers.
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -161,10 +161,11 @@
         let generation = new_generation();
         let members = Arc::new(ArcSwap::default());
         let placement = Arc::new(PeerPlacement::new(&settings, network.clone(), members.clone()));
-        let (book, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
-        let stored_quarantine = StoredQuarantine::new(ports.objects.clone(), book.clone(), clock.clone());
+        let (quarantine_registry, clock): (Arc<QuarantineRegistry>, Arc<FleetClock>) = Default::default();
+        let stored_quarantine =
+            StoredQuarantine::new(ports.objects.clone(), quarantine_registry.clone(), clock.clone());
         let stored_quarantine = Arc::new(stored_quarantine);
-        let quarantine = QuarantineParts { book, clock, trials: stored_quarantine.clone() };
+        let quarantine = QuarantineParts { quarantine_registry, clock, trials: stored_quarantine.clone() };
         let gateway = assemble_gateway(&settings, &ports, &registry, generation, placement, quarantine)?;
         let directory = gateway.forwarder.directory.clone();
         let readiness = Arc::new(Readiness::new(gateway.policy.clone(), directory, status.clone()));
@@ -284,7 +285,7 @@
 
 /// Parts of the quarantine besides the pool and the directory.
 struct QuarantineParts {
-    book: Arc<QuarantineRegistry>,
+    quarantine_registry: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     trials: Arc<dyn TrialPort>,
 }
@@ -310,8 +311,9 @@
     let nodes = settings.expected_nodes.max(1);
     let pool = Pool::new(CONNECT_TIMEOUT);
     let directory: Arc<ArcSwap<Directory>> = Arc::default();
-    let QuarantineParts { book, clock, trials } = quarantine;
-    let quarantine = Quarantine::new(book, pool.clone(), directory.clone(), clock.clone(), trials);
+    let QuarantineParts { quarantine_registry, clock, trials } = quarantine;
+    let quarantine =
+        Quarantine::new(quarantine_registry, pool.clone(), directory.clone(), clock.clone(), trials);
     let retries = RetryAllowance {
         earned_percent: percent(settings.retry_ratio * RETRY_RATIO_EARNED),
         saved_percent: percent(settings.retry_ratio * RETRY_RATIO_SAVED),
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -27,12 +27,12 @@
         let quarantine = self.gateway.forwarder.quarantine.clone();
         loop {
             let unsent = quarantine.next_untold().await;
-            let news = self.envelope(Body::QuarantineNews(encode(&unsent)));
+            let message = self.envelope(Body::QuarantineNews(encode(&unsent)));
             let mut recipients = self.targets(std::iter::empty());
             recipients.extend(self.members.load().relays_elsewhere.iter().copied());
             recipients.remove(&self.address);
             for address in recipients {
-                self.network.send(address, &news);
+                self.network.send(address, &message);
             }
         }
     }
@@ -55,21 +55,21 @@
 
     /// Sends all evidence to a peer if the link has room for it; otherwise the peer asks again later.
     pub(super) fn send_all_evidence(&self, envelope: &Envelope) {
-        let whole = encode(&self.gateway.forwarder.quarantine.book.all_evidence());
-        if self.transfers.admit(whole.encoded_len(), Instant::now()).is_ok() {
-            self.reply(envelope, Body::QuarantineNews(whole));
+        let evidence = encode(&self.gateway.forwarder.quarantine.book.all_evidence());
+        if self.transfers.admit(evidence.encoded_len(), Instant::now()).is_ok() {
+            self.reply(envelope, Body::QuarantineNews(evidence));
         }
     }
 
     /// Merges evidence from a peer; a relay forwards evidence from other zones.
-    pub(super) fn handle_quarantine_news(&self, envelope: &Envelope, news: &QuarantineNews) {
-        let new = self.gateway.forwarder.quarantine.hear(decode(news));
+    pub(super) fn handle_quarantine_update(&self, envelope: &Envelope, update: &QuarantineNews) {
+        let new = self.gateway.forwarder.quarantine.hear(decode(update));
         if new.is_empty() || !self.is_large_deployment() || envelope.zone == self.zone.as_str() {
             return;
         }
-        let news = self.envelope(Body::QuarantineNews(encode(&new)));
+        let message = self.envelope(Body::QuarantineNews(encode(&new)));
         for member in self.zone_members(&self.members.load().members) {
-            self.network.send(member.address, &news);
+            self.network.send(member.address, &message);
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -7,10 +7,10 @@
 
 /// Encodes evidence.
 pub fn encode(evidence: &Evidence) -> QuarantineNews {
-    let ending = |ending: &Termination| ToldEnding {
-        backend: ending.backend.to_string(),
-        at_ms: ending.at_ms,
-        open: ending.open.iter().flat_map(|request| *request.as_bytes()).collect(),
+    let termination = |termination: &Termination| ToldEnding {
+        backend: termination.backend.to_string(),
+        at_ms: termination.at_ms,
+        open: termination.open.iter().flat_map(|request| *request.as_bytes()).collect(),
     };
     let completion = |completion: &Completion| ToldCompletion {
         request: completion.request.as_bytes().to_vec(),
@@ -22,15 +22,15 @@
         at_ms: trial.at_ms,
     };
     QuarantineNews {
-        endings: evidence.endings.iter().map(ending).collect(),
+        endings: evidence.endings.iter().map(termination).collect(),
         completions: evidence.completions.iter().map(completion).collect(),
         trials: evidence.trials.iter().map(trial).collect(),
     }
 }
 
 /// Decodes evidence; entries without a valid fingerprint are skipped.
-pub fn decode(news: &QuarantineNews) -> Evidence {
-    let ending = |wire_entry: &ToldEnding| Termination {
+pub fn decode(update: &QuarantineNews) -> Evidence {
+    let termination = |wire_entry: &ToldEnding| Termination {
         backend: BackendId::new(&wire_entry.backend),
         at_ms: wire_entry.at_ms,
         open: wire_entry.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
@@ -46,9 +46,9 @@
         })
     };
     Evidence {
-        endings: news.endings.iter().map(ending).collect(),
-        completions: news.completions.iter().filter_map(completion).collect(),
-        trials: news.trials.iter().filter_map(trial).collect(),
+        endings: update.endings.iter().map(termination).collect(),
+        completions: update.completions.iter().filter_map(completion).collect(),
+        trials: update.trials.iter().filter_map(trial).collect(),
     }
 }
 
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -114,7 +114,7 @@
 }
 
 /// Decodes orders.
-pub fn decode_orders(news: &RolloutNews) -> Vec<OrderUpdate> {
+pub fn decode_orders(update: &RolloutNews) -> Vec<OrderUpdate> {
     let decode = |wire_entry: &ToldOrder| {
         Some(OrderUpdate {
             order: RolloutOrder {
@@ -127,11 +127,11 @@
             is_withdrawn: wire_entry.is_withdrawn,
         })
     };
-    news.orders.iter().filter_map(decode).collect()
+    update.orders.iter().filter_map(decode).collect()
 }
 
 /// Decodes stages.
-pub fn decode_stages(news: &RolloutNews) -> Vec<StageUpdate> {
+pub fn decode_stages(update: &RolloutNews) -> Vec<StageUpdate> {
     let decode = |wire_entry: &ToldStage| {
         Some(StageUpdate {
             order: decode_id(wire_entry.id.as_ref())?,
@@ -144,12 +144,12 @@
             age: Duration::from_millis(wire_entry.age_ms),
         })
     };
-    news.stages.iter().filter_map(decode).collect()
+    update.stages.iter().filter_map(decode).collect()
 }
 
 /// Decodes evidence. Builds that do not distinguish the back ends of the old version send sums by route,
 /// which are counted as one back end with an empty name.
-pub fn decode_evidence(news: &RolloutNews) -> Vec<(OrderId, Evidence)> {
+pub fn decode_evidence(update: &RolloutNews) -> Vec<(OrderId, Evidence)> {
     let decode = |wire_entry: &ToldEvidence| {
         let (sums, of_new): (Vec<&ToldAnswers>, Vec<&ToldAnswers>) =
             wire_entry.answers.iter().partition(|row| row.back_end.is_empty());
@@ -163,7 +163,7 @@
         };
         Some((decode_id(wire_entry.id.as_ref())?, evidence))
     };
-    news.evidence.iter().filter_map(decode).collect()
+    update.evidence.iter().filter_map(decode).collect()
 }
 
 fn decode_counts(rows: Vec<&ToldAnswers>) -> CountsByBackEnd {
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -69,10 +69,10 @@
     fn apply_list(&self, listed: ListedOrders) -> bool {
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
-        let book = self.exchange.rollouts();
-        let mut has_changed = book.withdraw_unlisted(&services, listed.revision);
+        let registry = self.exchange.rollouts();
+        let mut has_changed = registry.withdraw_unlisted(&services, listed.revision);
         for order in listed.orders {
-            has_changed |= apply_listed_order(book, order);
+            has_changed |= apply_listed_order(registry, order);
         }
         if has_changed {
             self.exchange.heartbeat_trigger.notify_one();
@@ -81,7 +81,7 @@
     }
 }
 
-fn apply_listed_order(book: &RolloutRegistry, listed: ListedOrder) -> bool {
+fn apply_listed_order(registry: &RolloutRegistry, listed: ListedOrder) -> bool {
     let order_update = OrderUpdate {
         order: listed.order,
         revision: listed.revision,
@@ -89,11 +89,11 @@
         verdict: listed.verdict,
         is_withdrawn: false,
     };
-    merge_order_update(book, order_update)
+    merge_order_update(registry, order_update)
 }
 
 /// Applies an order and logs it if it changed.
-fn merge_order_update(book: &RolloutRegistry, order_update: OrderUpdate) -> bool {
+fn merge_order_update(registry: &RolloutRegistry, order_update: OrderUpdate) -> bool {
     let event = RolloutOrdered {
         service: order_update.order.id.service.to_string(),
         target: order_update.order.id.target.to_string(),
@@ -101,7 +101,7 @@
         verdict: format!("{:?}", order_update.verdict),
         withdrawn: order_update.is_withdrawn.to_string(),
     };
-    let is_new = book.merge_order(order_update, beamwall_clock::now());
+    let is_new = registry.merge_order(order_update, beamwall_clock::now());
     if is_new {
         emit(&event);
     }
@@ -115,38 +115,38 @@
     }
 
     /// Orders, stages and the evidence counted by this node.
-    pub(super) fn node_rollout_news(&self) -> Option<RolloutNews> {
-        let (book, now) = (self.rollouts(), beamwall_clock::now());
-        rollout_wire::encode(book.orders(now), book.stages(now), book.own_evidence())
+    pub(super) fn node_rollout_update(&self) -> Option<RolloutNews> {
+        let (registry, now) = (self.rollouts(), beamwall_clock::now());
+        rollout_wire::encode(registry.orders(now), registry.stages(now), registry.own_evidence())
     }
 
     /// Orders, stages and the evidence counted by all nodes of this zone, for other zones.
-    pub(super) fn zone_rollout_news(&self) -> Option<RolloutNews> {
-        let (book, now) = (self.rollouts(), beamwall_clock::now());
-        rollout_wire::encode(book.orders(now), book.stages(now), book.evidence_of_nodes())
+    pub(super) fn zone_rollout_update(&self) -> Option<RolloutNews> {
+        let (registry, now) = (self.rollouts(), beamwall_clock::now());
+        rollout_wire::encode(registry.orders(now), registry.stages(now), registry.evidence_of_nodes())
     }
 
     /// Applies the rollouts and the evidence reported by a node.
-    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, news: &RolloutNews) {
-        self.apply_rollout_news(news);
-        self.rollouts().merge_node_evidence(node, generation, &rollout_wire::decode_evidence(news));
+    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, update: &RolloutNews) {
+        self.apply_rollout_update(update);
+        self.rollouts().merge_node_evidence(node, generation, &rollout_wire::decode_evidence(update));
     }
 
     /// Applies the rollouts reported by a relay and the evidence of its zone.
-    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, news: &RolloutNews) {
-        self.apply_rollout_news(news);
-        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(news));
+    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, update: &RolloutNews) {
+        self.apply_rollout_update(update);
+        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(update));
     }
 
     /// Applies orders and stages; a changed order triggers a heartbeat at once.
-    fn apply_rollout_news(&self, news: &RolloutNews) {
-        let book = self.rollouts();
+    fn apply_rollout_update(&self, update: &RolloutNews) {
+        let registry = self.rollouts();
         let mut has_changed = false;
-        for order in rollout_wire::decode_orders(news) {
-            has_changed |= merge_order_update(book, order);
+        for order in rollout_wire::decode_orders(update) {
+            has_changed |= merge_order_update(registry, order);
         }
-        for stage in rollout_wire::decode_stages(news) {
-            let is_new = book.merge_stage(&stage, beamwall_clock::now());
+        for stage in rollout_wire::decode_stages(update) {
+            let is_new = registry.merge_stage(&stage, beamwall_clock::now());
             // When the new version takes all requests, its evidence must reach other nodes without delay.
             has_changed |=
                 is_new && stage.stage.takes_all_in.is_some_and(|left| left <= IMMEDIATE_REPORT_WINDOW);
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -24,12 +24,12 @@
     /// Divides the quotas and retry budgets among the current nodes.
     pub(super) fn share_limits(&self) {
         let known = self.nodes_sharing_limits();
-        let close = self.direct_nodes_heard();
-        let heard = if self.is_large_deployment() { close + self.zones.nodes_heard() } else { close };
+        let direct = self.direct_nodes_heard();
+        let reachable = if self.is_large_deployment() { direct + self.zones.nodes_heard() } else { direct };
         let policy = self.gateway.policy.load();
-        let sharing = QuotaMembership { reachable: heard, known, direct: close };
+        let membership = QuotaMembership { reachable, known, direct };
         self.gateway.quotas.set_membership(
-            sharing,
+            membership,
             policy.policy().tenants.iter().map(|tenant| &**tenant),
             Instant::now(),
         );
--- a/crates/beamwall-node/src/gateway/stored_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/stored_quarantine.rs
@@ -30,7 +30,7 @@
 /// The object in the store.
 pub struct StoredQuarantine {
     objects: Arc<dyn VersionedObjects>,
-    book: Arc<QuarantineRegistry>,
+    registry: Arc<QuarantineRegistry>,
     clock: Arc<FleetClock>,
     /// Digest of the last write.
     written_digest: AtomicU64,
@@ -38,15 +38,15 @@
 }
 
 impl StoredQuarantine {
-    /// Stores the held requests of `book`.
+    /// Stores the held requests of `registry`.
     pub fn new(
         objects: Arc<dyn VersionedObjects>,
-        book: Arc<QuarantineRegistry>,
+        registry: Arc<QuarantineRegistry>,
         clock: Arc<FleetClock>,
     ) -> Self {
         Self {
             objects,
-            book,
+            registry,
             clock,
             written_digest: AtomicU64::default(),
             write_throttle: Throttle::default(),
@@ -56,7 +56,7 @@
     /// Writes the held requests if they have changed; used by the node that holds the duties lease. A failure
     /// is logged and retried a period later.
     pub async fn write_if_due(&self) {
-        let digest = self.book.persistent_digest();
+        let digest = self.registry.persistent_digest();
         if digest == self.written_digest.load(Ordering::Relaxed) || !self.write_throttle.admit(WRITE_PERIOD) {
             return;
         }
@@ -70,7 +70,7 @@
     /// peers.
     pub async fn restore(&self) {
         if let Some(object) = read_at_start(self.objects.as_ref(), KEY, log_not_stored).await {
-            self.book.merge_evidence(decode(&parse_object(&object)), self.clock.now_ms());
+            self.registry.merge_evidence(decode(&parse_object(&object)), self.clock.now_ms());
         }
     }
 
@@ -79,9 +79,9 @@
         let stored = self.objects.get(KEY).await?;
         if let Some(stored) = &stored {
             // A trial may have been granted to a node that has not announced it.
-            self.book.merge_evidence(decode(&parse_object(stored)), self.clock.now_ms());
+            self.registry.merge_evidence(decode(&parse_object(stored)), self.clock.now_ms());
         }
-        let mut requests = encode(self.book.persistent_suspects());
+        let mut requests = encode(self.registry.persistent_suspects());
         if !change(&mut requests) {
             return Ok(false);
         }
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -161,7 +161,7 @@
             demands: heartbeat_wire::encode_demands(forwarder.demand.sum_of_nodes()),
             models,
             slowness,
-            rollouts: self.zone_rollout_news(),
+            rollouts: self.zone_rollout_update(),
             quarantine_digest: self.quarantine_digest(),
         }
     }
@@ -185,8 +185,8 @@
         let relay = NodeId::new(&summary.relay);
         let uses = heartbeat_wire::decode_quota_uses(&summary.quota_uses);
         self.gateway.quotas.merge_zone_usage(&zone, &relay, summary.life, uses, Instant::now());
-        if let Some(news) = &summary.rollouts {
-            self.apply_zone_rollouts(&zone, news);
+        if let Some(update) = &summary.rollouts {
+            self.apply_zone_rollouts(&zone, update);
         }
         self.zones.note(zone, summary.relay, summary.nodes_heard as usize);
     }
