--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -90,14 +90,14 @@
         let Some(counts) = self.fix(progress, due).await else { return };
         let Some(holder) = lease_hold.holder() else { return };
         let after = self.clock().time_since_end(due, self.window_length).unwrap_or_default();
-        let unheard = self.exchange.members_not_heard();
+        let silent_members = self.exchange.silent_members();
         let result = self.port.report_usage(&holder, &counts).await;
         emit(&UsageReported {
             window: due.to_string(),
             requests: counts.counts.values().sum::<u64>().to_string(),
             epoch: holder.epoch.to_string(),
             after_ms: after.as_millis().to_string(),
-            unheard: unheard.to_string(),
+            unheard: silent_members.to_string(),
             result: describe(&result),
         });
         if !matches!(result, Err(DutyError::Unanswered(_))) {
@@ -124,7 +124,7 @@
             silent_node_wait: SILENT_NODE_WAIT,
             max_age: REPORT_DEADLINE,
         };
-        let is_complete = self.exchange.members_not_heard() == 0;
+        let is_complete = self.exchange.silent_members() == 0;
         window_progress.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
     }
 
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -131,7 +131,7 @@
     /// Members whose usage may be incomplete here, because they are silent and may still serve callers. A
     /// machine that refuses connections runs no gateway process any more, so nothing further is counted
     /// there.
-    pub fn members_not_heard(&self) -> usize {
+    pub fn silent_members(&self) -> usize {
         let may_serve =
             |member: &&Member| member.state != MemberState::Alive && !self.network.is_refused(member.address);
         self.members.load().members.iter().filter(may_serve).count()
@@ -204,7 +204,7 @@
 
     /// Sends one heartbeat to every target.
     pub async fn send_heartbeat(&self) {
-        // The tick publishes when each member was last heard.
+        // The tick publishes when a message last arrived from each member.
         let Ok(tick) = self.membership.ask(Tick).await else { return };
         self.share_limits();
         let quota_uses = heartbeat_wire::encode_quota_uses(self.gateway.quotas.take_report());
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -24,8 +24,9 @@
     /// Divides the quotas and retry budgets among the current nodes.
     pub(super) fn share_limits(&self) {
         let known = self.nodes_sharing_limits();
-        let direct = self.direct_nodes_heard();
-        let reachable = if self.is_large_deployment() { direct + self.zones.nodes_heard() } else { direct };
+        let direct = self.reachable_direct_nodes();
+        let reachable =
+            if self.is_large_deployment() { direct + self.zones.reachable_nodes() } else { direct };
         let policy = self.gateway.policy.load();
         let membership = QuotaMembership { reachable, known, direct };
         self.gateway.quotas.set_membership(
@@ -36,7 +37,7 @@
         self.gateway.forwarder.retries.divide_among(known);
     }
 
-    /// Passes the zones from which no node is heard to the choice of back ends.
+    /// Passes the zones whose nodes are all silent to the choice of back ends.
     pub(super) fn note_silent_zones(&self) {
         let silent = if self.is_large_deployment() { self.zones.silent() } else { self.silent_zones() };
         let knowledge = &self.gateway.forwarder.knowledge;
@@ -52,10 +53,15 @@
         let view = self.members.load();
         let remote_members =
             view.members.iter().filter(|member| member.zone != self.zone && may_still_serve(member, now));
-        let (heard, silent): (Vec<&Member>, Vec<&Member>) =
-            remote_members.partition(|member| is_heard(member, silence_limit, now));
-        let heard: HashSet<&ZoneName> = heard.into_iter().map(|member| &member.zone).collect();
-        silent.into_iter().map(|member| &member.zone).filter(|zone| !heard.contains(zone)).cloned().collect()
+        let (reachable, silent): (Vec<&Member>, Vec<&Member>) =
+            remote_members.partition(|member| is_reachable(member, silence_limit, now));
+        let reachable_zones: HashSet<&ZoneName> = reachable.into_iter().map(|member| &member.zone).collect();
+        silent
+            .into_iter()
+            .map(|member| &member.zone)
+            .filter(|zone| !reachable_zones.contains(zone))
+            .cloned()
+            .collect()
     }
 
     /// Silence after which a peer may be partitioned.
@@ -73,20 +79,20 @@
         if self.started.elapsed() < MEMBERSHIP_SETTLE_TIME { known.max(self.expected_nodes) } else { known }
     }
 
-    /// Nodes that report their own work to this one and were heard recently, this one included: all nodes in
+    /// Nodes that report their own work to this one and did so recently, this one included: all nodes in
     /// a small deployment, those of the zone in a large one.
-    pub(super) fn direct_nodes_heard(&self) -> usize {
+    pub(super) fn reachable_direct_nodes(&self) -> usize {
         let now = Instant::now();
         let silence_limit = self.silence_limit();
         let is_large_deployment = self.is_large_deployment();
         let is_direct_peer = |member: &&Member| !is_large_deployment || member.zone == self.zone;
         let view = self.members.load();
         let direct = view.members.iter().filter(is_direct_peer);
-        direct.filter(|member| is_heard(member, silence_limit, now)).count() + 1
+        direct.filter(|member| is_reachable(member, silence_limit, now)).count() + 1
     }
 }
 
-fn is_heard(member: &Member, within: Duration, now: Instant) -> bool {
+fn is_reachable(member: &Member, within: Duration, now: Instant) -> bool {
     member.heard.is_some_and(|heard| now.duration_since(heard) < within)
 }
 
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -75,8 +75,8 @@
         has_room || is_due
     }
 
-    /// Nodes of all other zones that their relays hear, for zones whose summaries arrive.
-    pub(super) fn nodes_heard(&self) -> usize {
+    /// Nodes of all other zones that their relays can reach, for zones whose summaries arrive.
+    pub(super) fn reachable_nodes(&self) -> usize {
         let known_zones = self.known_zones.lock().unwrap_or_else(PoisonError::into_inner);
         known_zones
             .values()
@@ -154,7 +154,7 @@
             zone: self.zone.to_string(),
             relay: self.node.to_string(),
             life: self.generation,
-            nodes_heard: u32::try_from(self.direct_nodes_heard()).unwrap_or(u32::MAX),
+            nodes_heard: u32::try_from(self.reachable_direct_nodes()).unwrap_or(u32::MAX),
             quota_uses: heartbeat_wire::encode_quota_uses(self.gateway.quotas.sum_of_nodes()),
             loads: heartbeat_wire::encode_loads(loads.into_iter().collect()),
             usage: heartbeat_wire::encode_usage(forwarder.usage.sum_of_nodes(REPORTED_WINDOWS)),
