--- a/crates/beamwall-duties/tests/orders.rs
+++ b/crates/beamwall-duties/tests/orders.rs
@@ -34,9 +34,9 @@
     let service: ServiceName = "model".into();
     let supply = |zone: &&str| ZoneSupply {
         zone: (*zone).into(),
-        lasting_usable: usable,
+        on_demand_usable: usable,
         reclaimable_usable: if *zone == "a" { 0 } else { 16 },
-        lasting_ordered: tracker.last_ordered(&key(zone, false)).unwrap_or(usable),
+        on_demand_ordered: tracker.last_ordered(&key(zone, false)).unwrap_or(usable),
         is_exhausted: tracker.is_exhausted(&key(zone, true)),
     };
     let zones: Vec<ZoneSupply> = ZONES.iter().map(supply).collect();
@@ -44,7 +44,7 @@
     let needed = Needed { usual: 49, standing_in: 30, after_loss: 24 };
     let inputs = ScalingInputs { service: &service, limits: &limits, zones: &zones, needed, floor: 0 };
     scaling::note_usable(tracker.placed_mut(), &service, &zones);
-    let due = scaling::due(&scaling::plan(&inputs), tracker.placed(), &inputs, now);
+    let due = scaling::orders_due(&scaling::plan(&inputs), tracker.placed(), &inputs, now);
     due.into_iter().filter(|order| tracker.may_attempt(&OrderKey::of(order), now)).collect()
 }
 
--- a/crates/beamwall-gateway/src/attempt.rs
+++ b/crates/beamwall-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one back end.
+//! A single attempt to run a request at one back end.
 
 use std::time::Duration;
 
@@ -10,68 +10,78 @@
 
 use crate::failover::FailedAttempt;
 use crate::forward::{Call, Forwarder};
-use crate::load::OpenWork;
+use crate::load::OpenRequestGuard;
 use crate::placement::Choice;
-use crate::ports::{AnswerHead, ForwardHead};
+use crate::ports::{ForwardHead, ResponseHead};
 
-/// Time after which a lost answer tells that a back end had begun: one that resets at once took nothing.
-const BEGUN_AFTER: Duration = Duration::from_millis(8);
+/// If the response is lost later than this after sending, the back end is assumed to have started the
+/// request. A back end that resets the connection sooner has not accepted anything.
+const MIN_STARTED_TIME: Duration = Duration::from_millis(8);
 
-/// Standstill of this process during an attempt up to which the back end is blamed for giving no answer in time.
-const STANDSTILL_BORNE: Duration = Duration::from_millis(100);
+/// Longest stall of this process during an attempt for which a timeout still counts against the back end.
+const MAX_TOLERATED_STALL: Duration = Duration::from_millis(100);
 
-/// Whether a request that failed has run.
+/// Whether a request that failed was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ran {
-    /// It has not and never will.
-    No,
-    /// It may have.
-    Maybe,
+pub enum Execution {
+    /// It was not executed and never will be.
+    NotExecuted,
+    /// It may have been executed.
+    MaybeExecuted,
 }
 
-impl Ran {
-    /// The word used in logs.
+impl Execution {
+    /// The value used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::No => "no",
-            Self::Maybe => "maybe",
+            Self::NotExecuted => "no",
+            Self::MaybeExecuted => "maybe",
         }
     }
 }
 
-/// Why an attempt gave no answer.
+/// Why an attempt produced no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// Whether the request has run.
-    pub ran: Ran,
-    /// Whether it was sent at all, so that it counts as an attempt.
+    /// Whether the request was executed.
+    pub execution: Execution,
+    /// Whether the request was sent, so that it counts as an attempt.
     pub sent: bool,
-    /// Whether it is taken to have begun: the back end began to answer, or worked for a while before the answer was
-    /// lost.
-    pub begun: bool,
-    /// Whether its time was up.
+    /// Whether the request is assumed to have started: the back end began to respond, or worked on it for a
+    /// while before the response was lost.
+    pub has_started: bool,
+    /// Whether the attempt timed out.
     pub timed_out: bool,
-    /// Whether the connection ended or fell silent before the whole answer, so that the back end may have ended.
-    pub answer_lost: bool,
-    /// What happened.
+    /// Whether the connection closed or went silent before the whole response arrived, which may mean that
+    /// the back end terminated.
+    pub response_lost: bool,
+    /// Description of the failure.
     pub reason: String,
 }
 
 impl AttemptFailure {
-    /// A failure after which the request may have run.
+    /// A failure after which the request may have been executed.
     pub fn may_have_run(reason: impl Into<String>) -> Self {
         let reason = reason.into();
-        Self { ran: Ran::Maybe, sent: true, begun: false, timed_out: false, answer_lost: false, reason }
+        Self {
+            execution: Execution::MaybeExecuted,
+            sent: true,
+            has_started: false,
+            timed_out: false,
+            response_lost: false,
+            reason,
+        }
     }
 
-    /// A failure after which the request may have run, where the answer was lost with its connection or by silence.
+    /// A failure after which the request may have been executed, where the response was lost because the
+    /// connection closed or went silent.
     pub fn lost(reason: impl Into<String>) -> Self {
-        Self { answer_lost: true, ..Self::may_have_run(reason) }
+        Self { response_lost: true, ..Self::may_have_run(reason) }
     }
 
-    /// The same failure of a request that had begun.
-    pub fn after_begin(self) -> Self {
-        Self { begun: true, ..self }
+    /// The same failure, for a request that had started.
+    pub fn after_start(self) -> Self {
+        Self { has_started: true, ..self }
     }
 
     fn not_sent(reason: String) -> Self {
@@ -79,7 +89,7 @@
     }
 
     fn not_run(reason: String) -> Self {
-        Self { ran: Ran::No, ..Self::may_have_run(reason) }
+        Self { execution: Execution::NotExecuted, ..Self::may_have_run(reason) }
     }
 
     fn timed_out(limit: Duration) -> Self {
@@ -87,70 +97,72 @@
     }
 }
 
-/// An answer whose head came and whose body is being received.
-pub struct Opened {
+/// A response whose head was received and whose body is still arriving.
+pub struct OpenResponse {
     /// The back end.
     pub backend: BackendId,
-    /// The answer.
+    /// The response.
     pub response: Response<PooledBody>,
-    /// Counts as open work until dropped.
-    pub work: OpenWork,
+    /// Counts the request as open until dropped.
+    pub work: OpenRequestGuard,
 }
 
-/// Sends a call to the chosen back end and waits up to `limit` for the head of its answer. `last_event` is
-/// the last event delivered, when a stream continues. Health is noted here.
+/// Sends a call to the chosen back end and waits up to `limit` for the response head. `last_event` is the
+/// last event delivered, when a stream is continued. Also records the back end's health.
 pub async fn open(
     forwarder: &Forwarder,
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
     limit: Duration,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let backend = &choice.backend;
     let directory = forwarder.directory.load();
     let Some(target) = directory.get(backend) else {
         return Err(AttemptFailure::not_sent("the back end is gone".to_owned()));
     };
     let request = build_request(forwarder, call, &target.instance, last_event);
-    let work = forwarder.knowledge.loads.open(backend, choice.reading.tokens);
+    let work = forwarder.backend_state.loads.open(backend, choice.reading.tokens);
     let (sent_at, stood_still) = (Instant::now(), running::stood_still());
     let sent = timers::timeout(limit, forwarder.pool.send(target.address, request)).await;
     let result = match sent {
         None => Err(AttemptFailure::timed_out(limit)),
         Some(Err(error)) => {
             if matches!(error, PoolError::Refused(_)) {
-                forwarder.quarantine.note_ended(backend);
+                forwarder.quarantine.note_terminated(backend);
             }
             if matches!(error, PoolError::Refused(_) | PoolError::Connect(..)) {
-                forwarder.knowledge.doubts.note_unreached(backend, Instant::now());
+                forwarder.backend_state.staleness.note_connect_failure(backend, Instant::now());
             }
-            Err(from_pool(&error, call, sent_at.elapsed()))
+            Err(failure_from_pool(&error, call, sent_at.elapsed()))
         }
         Some(Ok(response)) => check_head(forwarder, call, backend, response, work),
     };
-    // An answer may lie unread where this process did not run: its time up tells nothing of the back end.
-    let had_its_time = running::stood_still().saturating_sub(stood_still) < STANDSTILL_BORNE;
-    if !had_its_time && result.as_ref().is_err_and(|failure| failure.timed_out) {
+    // While this process was stalled, a response may have arrived without being read, so the timeout says
+    // nothing about the back end.
+    let had_full_timeout = running::stood_still().saturating_sub(stood_still) < MAX_TOLERATED_STALL;
+    if !had_full_timeout && result.as_ref().is_err_and(|failure| failure.timed_out) {
         return result;
     }
     note_health(forwarder, backend, &result);
     if let Err(failure) = &result
-        && failure.ran == Ran::Maybe
+        && failure.execution == Execution::MaybeExecuted
     {
-        forwarder.note_answer(call, backend, true);
+        forwarder.record_response(call, backend, true);
     }
     result
 }
 
-/// Notes that a back end is left for its silence before it began to answer; `next` is reserved for the next attempt.
-pub(crate) fn leave_silent(
+/// Records that a back end is abandoned because it was silent before it started its response. `next` is
+/// reserved for the next attempt.
+pub(crate) fn abandon_silent(
     forwarder: &Forwarder,
     call: &Call,
     backend: &BackendId,
     next: Choice,
 ) -> FailedAttempt {
-    forwarder.note_answer(call, backend, true);
-    forwarder.knowledge.health.note_unreachable(backend, Instant::now());
+    forwarder.record_response(call, backend, true);
+    forwarder.backend_state.health.note_unreachable(backend, Instant::now());
     FailedAttempt { failure: AttemptFailure::lost("the engine is silent"), next: Some(next) }
 }
 
@@ -164,7 +176,7 @@
         instance,
         remaining: call.remaining(),
         tenant: call.tenant.as_ref().map(|tenant| &tenant.name),
-        rank: call.rank(forwarder.reading_ms(call)),
+        rank: call.rank(forwarder.call_prefill_ms(call)),
         last_event,
     };
     let mut request = Request::new(full(call.body.clone()));
@@ -174,17 +186,17 @@
     request
 }
 
-fn from_pool(error: &PoolError, call: &Call, elapsed: Duration) -> AttemptFailure {
+fn failure_from_pool(error: &PoolError, call: &Call, elapsed: Duration) -> AttemptFailure {
     let lost = AttemptFailure::lost(error.to_string());
     match error {
         PoolError::Connect(..) | PoolError::Refused(_) | PoolError::NotWritten(_) => {
             AttemptFailure::not_sent(error.to_string())
         }
-        _ if elapsed < BEGUN_AFTER => lost,
-        PoolError::Reset(_) => lost.after_begin(),
-        // Model engines that go close many streams that still wait for their prompts to be read.
+        _ if elapsed < MIN_STARTED_TIME => lost,
+        PoolError::Reset(_) => lost.after_start(),
+        // Model engines that shut down close many streams whose prompts are still queued for prefill.
         PoolError::Lost(..) if call.route.kind.is_stream() => lost,
-        PoolError::Lost(..) => lost.after_begin(),
+        PoolError::Lost(..) => lost.after_start(),
     }
 }
 
@@ -193,18 +205,18 @@
     call: &Call,
     backend: &BackendId,
     response: Response<PooledBody>,
-    work: OpenWork,
-) -> Result<Opened, AttemptFailure> {
+    work: OpenRequestGuard,
+) -> Result<OpenResponse, AttemptFailure> {
     let status = response.status();
-    let head = forwarder.dialect.read_answer(status, response.headers());
-    if !answers_call(&head, call) {
+    let head = forwarder.dialect.read_response_head(status, response.headers());
+    if !matches_request(&head, call) {
         let other = head.request_id.unwrap_or_default();
         return Err(AttemptFailure::may_have_run(format!("the answer belongs to request {other:?}")));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        forwarder.knowledge.doubts.note_unreached(backend, Instant::now());
+        forwarder.backend_state.staleness.note_connect_failure(backend, Instant::now());
     } else {
-        forwarder.knowledge.doubts.note_reached(backend);
+        forwarder.backend_state.staleness.note_response(backend);
     }
     if head.proves_not_run {
         return Err(AttemptFailure::not_run(format!("refused with status {status}")));
@@ -212,14 +224,14 @@
     if !head.is_signed {
         return Err(AttemptFailure::may_have_run(format!("answer without a signature, status {status}")));
     }
-    if promises_not_run(status) && !call.route.kind.is_idempotent() {
+    if implies_not_executed(status) && !call.route.kind.is_idempotent() {
         return Err(AttemptFailure::may_have_run(format!("status {status} without proof")));
     }
-    Ok(Opened { backend: backend.clone(), response, work })
+    Ok(OpenResponse { backend: backend.clone(), response, work })
 }
 
-/// An answer without an identifier can't be told from a late one of another request.
-fn answers_call(head: &AnswerHead, call: &Call) -> bool {
+/// A response without a request identifier can't be distinguished from a late response to another request.
+fn matches_request(head: &ResponseHead, call: &Call) -> bool {
     match (&head.request_id, &call.request_id) {
         (Some(answered), Some(asked)) => answered == asked,
         (None, _) => !head.is_signed,
@@ -227,8 +239,8 @@
     }
 }
 
-/// Statuses that promise the caller that the request did not run.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Statuses that tell the caller that the request was not executed.
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -238,9 +250,9 @@
     )
 }
 
-fn note_health(forwarder: &Forwarder, backend: &BackendId, result: &Result<Opened, AttemptFailure>) {
+fn note_health(forwarder: &Forwarder, backend: &BackendId, result: &Result<OpenResponse, AttemptFailure>) {
     let now = Instant::now();
-    let health = &forwarder.knowledge.health;
+    let health = &forwarder.backend_state.health;
     match result {
         Ok(opened) => health.note(backend, opened.response.status().is_server_error(), now),
         Err(failure) if !failure.sent || failure.timed_out => health.note_unreachable(backend, now),
--- a/crates/beamwall-gateway/src/stream/first_event_wait.rs
+++ b/crates/beamwall-gateway/src/stream/first_event_wait.rs
@@ -68,11 +68,11 @@
     /// node are waiting for its events, or the hard deadline has passed.
     fn is_silence_confirmed(&self) -> bool {
         let is_unlisted = self.forwarder.directory.load().get(self.backend).is_none();
-        let owes_events = self.forwarder.knowledge.loads.answering(self.backend) > 0;
+        let owes_events = self.forwarder.backend_state.loads.responding_requests(self.backend) > 0;
         is_unlisted || owes_events || running::now() >= self.hard_deadline
     }
 
     fn responded_recently(&self) -> bool {
-        self.forwarder.knowledge.health.is_heard(self.backend, running::now())
+        self.forwarder.backend_state.health.is_responsive(self.backend, running::now())
     }
 }
--- a/crates/beamwall-gateway/src/stream/relay.rs
+++ b/crates/beamwall-gateway/src/stream/relay.rs
@@ -106,7 +106,7 @@
         let mut gap_meter: Option<EventGapMeter> = None;
         let call = self.call.clone();
         // One timer for all events of the source.
-        let mut time_is_up = std::pin::pin!(call.time_is_up());
+        let mut time_is_up = std::pin::pin!(call.deadline_elapsed());
         loop {
             let piece = match next.take() {
                 Some(piece) => piece,
@@ -122,7 +122,7 @@
             match piece {
                 Piece::Events(events) => {
                     let now = running::now();
-                    self.forwarder.knowledge.health.note_heard(&source.choice.backend, now);
+                    self.forwarder.backend_state.health.note_activity(&source.choice.backend, now);
                     let batch = scan_events(&events);
                     match &mut gap_meter {
                         None => gap_meter = Some(EventGapMeter::new(now)),
@@ -155,13 +155,14 @@
         if let Some(mean_gap_ms) = gap_meter.final_gap_ms(now) {
             self.record_mean_gap(source, mean_gap_ms);
         }
-        self.forwarder.knowledge.models.record_stream(&self.call.service, gap_meter.elapsed_ms(now));
+        self.forwarder.backend_state.models.record_stream(&self.call.service, gap_meter.elapsed_ms(now));
     }
 
     fn record_mean_gap(&self, source: &Source, mean_gap_ms: f64) {
         let service = &self.call.service;
-        let running = self.forwarder.running(service, &source.choice.backend, source.choice.open_requests);
-        let models = &self.forwarder.knowledge.models;
+        let running =
+            self.forwarder.running_requests(service, &source.choice.backend, source.choice.open_requests);
+        let models = &self.forwarder.backend_state.models;
         models.record_event_gap(service, &source.choice.backend, running, mean_gap_ms, Instant::now());
     }
 
@@ -176,7 +177,7 @@
                 return std::future::pending().await;
             }
             running::sleep(SILENCE_TIMEOUT).await;
-            failover::next_back_end(forwarder, call, attempts, attempts.sent, &silent_backend).await
+            failover::reserve_next_back_end(forwarder, call, attempts, attempts.sent, &silent_backend).await
         };
         tokio::select! {
             // Received data takes precedence over timeouts.
@@ -191,8 +192,8 @@
     /// Resumes the stream at another engine after the last forwarded event, when `from` has failed.
     async fn resume_elsewhere(&mut self, from: &Choice, failed: FailedAttempt) -> Option<StartedStream> {
         let FailedAttempt { failure, next } = failed;
-        self.forwarder.knowledge.health.note(&from.backend, true, Instant::now());
-        self.forwarder.note_answer(&self.call, &from.backend, true);
+        self.forwarder.backend_state.health.note(&from.backend, true, Instant::now());
+        self.forwarder.record_response(&self.call, &from.backend, true);
         self.attempts.note(&self.forwarder, &self.call, &from.backend, failure);
         let mut next = self.attempts.next_choice(&self.forwarder, &self.call, from, next).await;
         while let Some(choice) = next {
@@ -203,7 +204,7 @@
             };
             let failed = match resumed {
                 Ok(AttemptStart::Stream(resumed)) => {
-                    self.attempts.begin();
+                    self.attempts.note_response_started();
                     self.record_resumption(&from.backend, &choice.backend);
                     return Some(*resumed);
                 }
@@ -213,7 +214,7 @@
                 }
                 Err(failed) => failed,
             };
-            next = self.attempts.go_on(&self.forwarder, &self.call, &choice, failed).await;
+            next = self.attempts.continue_after_failure(&self.forwarder, &self.call, &choice, failed).await;
         }
         None
     }
--- a/crates/beamwall-gateway/tests/attempts.rs
+++ b/crates/beamwall-gateway/tests/attempts.rs
@@ -8,11 +8,11 @@
 
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
-use beamwall_gateway::attempt::{AttemptFailure, Ran};
-use beamwall_gateway::attempts::{Attempts, Missing};
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::attempt::{AttemptFailure, Execution};
+use beamwall_gateway::attempts::{Attempts, RetryBlocker};
+use beamwall_gateway::candidates::BackendState;
 use beamwall_gateway::choice::Chooser;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 use beamwall_gateway::failover::FailedAttempt;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::forward::{Call, Forwarder};
@@ -21,7 +21,7 @@
 use beamwall_gateway::retries::{RetryAllowance, RetryBudgets};
 use beamwall_gateway::usage::UsageLedger;
 use beamwall_gateway::{
-    AnswerHead, CallHead, Choice, Dialect, ForwardHead, PlacementAnswer, PlacementPort, PlacementQuestion,
+    CallHead, Choice, Dialect, ForwardHead, PlacementOutcome, PlacementPort, PlacementQuery, ResponseHead,
 };
 use beamwall_http::Pool;
 use beamwall_model::ChoiceStrategy;
@@ -42,10 +42,10 @@
     fn forward_headers(&self, _: &HeaderMap, _: &ForwardHead<'_>) -> HeaderMap {
         HeaderMap::new()
     }
-    fn read_answer(&self, _: StatusCode, _: &HeaderMap) -> AnswerHead {
-        AnswerHead::default()
+    fn read_response_head(&self, _: StatusCode, _: &HeaderMap) -> ResponseHead {
+        ResponseHead::default()
     }
-    fn answer_headers(&self, _: &HeaderMap) -> HeaderMap {
+    fn response_headers(&self, _: &HeaderMap) -> HeaderMap {
         HeaderMap::new()
     }
     fn mark_refusal(&self, _: &mut HeaderMap, _: &str) {}
@@ -53,14 +53,14 @@
 
 #[async_trait]
 impl PlacementPort for StubPorts {
-    async fn place(&self, _: &PlacementQuestion) -> PlacementAnswer {
-        PlacementAnswer::Unanswered
+    async fn place(&self, _: &PlacementQuery) -> PlacementOutcome {
+        PlacementOutcome::Unanswered
     }
 }
 
 #[async_trait]
 impl TrialPort for StubPorts {
-    async fn take(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
+    async fn claim_trial(&self, _: &Fingerprint, _: u32, _: u64) -> bool {
         false
     }
 }
@@ -80,10 +80,10 @@
         dialect: Arc::new(StubPorts),
         pool,
         directory,
-        knowledge: Knowledge::default(),
+        backend_state: BackendState::default(),
         chooser: Chooser::new(ChoiceStrategy::ExpectedTime),
         placement: Arc::new(StubPorts),
-        demand: DemandBook::default(),
+        demand: DemandTracker::default(),
         rollouts: RolloutRegistry::default(),
         quarantine: Arc::new(quarantine),
         retries: RetryBudgets::new(allowance, 1),
@@ -99,15 +99,20 @@
 }
 
 fn refused_attempt() -> FailedAttempt {
-    AttemptFailure { ran: Ran::No, answer_lost: false, ..AttemptFailure::may_have_run("refused") }.into()
+    AttemptFailure {
+        execution: Execution::NotExecuted,
+        response_lost: false,
+        ..AttemptFailure::may_have_run("refused")
+    }
+    .into()
 }
 
 fn retries_left(forwarder: &Forwarder) -> f64 {
-    forwarder.retries.left().iter().map(|(_, left)| left).sum()
+    forwarder.retries.available_retries().iter().map(|(_, left)| left).sum()
 }
 
 /// Starts an attempt at one engine and tries to reserve another engine for a failover.
-async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, Missing>) {
+async fn fail_over(forwarder: &Forwarder, call: &Call) -> (Attempts, Choice, Result<Choice, RetryBlocker>) {
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(forwarder, call).await.expect("an engine");
     let next = attempts.reserve(forwarder, call, 1, Vec::new()).await;
@@ -127,10 +132,10 @@
 async fn the_retry_is_returned_when_there_is_no_other_engine() {
     let (forwarder, call) = (forwarder(1, 1.0), call());
     let (mut attempts, _, next) = fail_over(&forwarder, &call).await;
-    assert_eq!(next, Err(Missing::BackEnd));
+    assert_eq!(next, Err(RetryBlocker::BackEnd));
     assert_eq!(retries_left(&forwarder), 1.0);
     let avoided = support::directory(1, 8).backends().map(|backend| backend.id.clone()).collect();
-    assert_eq!(attempts.reserve(&forwarder, &call, 1, avoided).await, Err(Missing::BackEnd));
+    assert_eq!(attempts.reserve(&forwarder, &call, 1, avoided).await, Err(RetryBlocker::BackEnd));
 }
 
 #[tokio::test(start_paused = true)]
@@ -138,7 +143,7 @@
     let (forwarder, call) = (forwarder(3, 0.0), call());
     while forwarder.retries.take(&call.service, Instant::now()) {}
     let (attempts, _, next) = fail_over(&forwarder, &call).await;
-    assert_eq!(next, Err(Missing::Retry));
+    assert_eq!(next, Err(RetryBlocker::Retry));
     assert_eq!(attempts.tried.len(), 1);
 }
 
@@ -150,17 +155,20 @@
     (0..10).for_each(|_| forwarder.retries.earn(&call.service, Instant::now()));
     let (mut attempts, first, next) = fail_over(&forwarder, &call).await;
     let failed = FailedAttempt { failure: AttemptFailure::lost("silent"), next: next.ok() };
-    let second = attempts.go_on(&forwarder, &call, &first, failed).await.expect("the reserved engine");
+    let second = attempts
+        .continue_after_failure(&forwarder, &call, &first, failed)
+        .await
+        .expect("the reserved engine");
     assert_ne!(second.backend, first.backend);
     let mut returned = 0;
-    let mut next = attempts.go_on(&forwarder, &call, &second, refused_attempt()).await;
+    let mut next = attempts.continue_after_failure(&forwarder, &call, &second, refused_attempt()).await;
     while let Some(choice) = next {
         assert_eq!(
             choice.backend, first.backend,
             "there is no third engine, and the one that refused is not retried"
         );
         returned += 1;
-        next = attempts.go_on(&forwarder, &call, &choice, refused_attempt()).await;
+        next = attempts.continue_after_failure(&forwarder, &call, &choice, refused_attempt()).await;
     }
     assert_eq!(returned, 3);
     assert_eq!(attempts.tried.len(), 2);
@@ -174,6 +182,7 @@
     let mut attempts = Attempts::default();
     let first = attempts.first_choice(&forwarder, &call).await.expect("an engine");
     let lost = AttemptFailure::lost("reset").into();
-    let second = attempts.go_on(&forwarder, &call, &first, lost).await.expect("the other engine");
-    assert_eq!(attempts.go_on(&forwarder, &call, &second, refused_attempt()).await, None);
+    let second =
+        attempts.continue_after_failure(&forwarder, &call, &first, lost).await.expect("the other engine");
+    assert_eq!(attempts.continue_after_failure(&forwarder, &call, &second, refused_attempt()).await, None);
 }
--- a/crates/beamwall-gateway/tests/directory.rs
+++ b/crates/beamwall-gateway/tests/directory.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use beamwall_gateway::ports::{DirectoryChange, DirectoryChanges, DirectorySnapshot};
-use beamwall_gateway::{Backend, Correction, Directory, Vanishing};
+use beamwall_gateway::{Backend, Directory, Reconciliation, RemovalCause};
 use beamwall_model::BackendId;
 use beamwall_seeds::on_seeds;
 
@@ -30,7 +30,7 @@
 
 fn listed(revision: u64, backends: Vec<Backend>) -> Directory {
     let mut directory = Directory::default();
-    assert!(directory.replace(DirectorySnapshot { revision, backends }, Vanishing::Gone));
+    assert!(directory.replace(DirectorySnapshot { revision, backends }, RemovalCause::Gone));
     directory
 }
 
@@ -38,11 +38,11 @@
 fn a_change_after_an_empty_watch_result_is_applied() {
     let mut directory = listed(46, vec![backend(1, false)]);
     // Objects of other kinds changed meanwhile, so the watch returned no changes at a higher revision.
-    directory.apply(46, changes(49, Vec::new()), Vanishing::Gone);
+    directory.apply(46, changes(49, Vec::new()), RemovalCause::Gone);
     assert!(directory.apply(
         49,
         changes(53, vec![DirectoryChange::Changed(backend(1, true))]),
-        Vanishing::Gone
+        RemovalCause::Gone
     ));
     assert_eq!(directory.usable(&"model".into()).count(), 0);
 }
@@ -50,7 +50,7 @@
 #[test]
 fn changes_after_a_revision_gap_are_refused() {
     let mut directory = listed(10, vec![backend(1, false)]);
-    assert!(!directory.apply(12, changes(13, vec![DirectoryChange::Gone("b1".into())]), Vanishing::Gone));
+    assert!(!directory.apply(12, changes(13, vec![DirectoryChange::Gone("b1".into())]), RemovalCause::Gone));
     assert_eq!(directory.revision(), 10);
 }
 
@@ -58,8 +58,10 @@
 fn an_older_snapshot_from_a_peer_is_refused() {
     let mut directory = listed(10, vec![backend(1, true)]);
     assert!(
-        !directory
-            .replace(DirectorySnapshot { revision: 9, backends: vec![backend(1, false)] }, Vanishing::Gone)
+        !directory.replace(
+            DirectorySnapshot { revision: 9, backends: vec![backend(1, false)] },
+            RemovalCause::Gone
+        )
     );
     assert!(directory.backends().all(|known| known.draining));
 }
@@ -84,7 +86,7 @@
             }
             let known: Vec<Backend> = directory.backends().cloned().collect();
             assert_eq!(known, snapshot_at(&history, directory.revision()).backends);
-            // Whichever entries have lapsed, no back end listed as draining is used.
+            // Whichever entries have expired, no back end listed as draining is used.
             let service = "model".into();
             let leaving = |used: &Backend| known.iter().any(|one| one.id == used.id && one.draining);
             assert!(!directory.usable(&service).any(leaving));
@@ -126,8 +128,8 @@
     changes(to, history[from as usize..to as usize].iter().flatten().cloned().collect())
 }
 
-fn vanishing(random: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Vanishing> {
-    Ok(if random.arbitrary()? { Vanishing::Gone } else { Vanishing::MayHaveLapsed })
+fn vanishing(random: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<RemovalCause> {
+    Ok(if random.arbitrary()? { RemovalCause::Gone } else { RemovalCause::MaybeExpired })
 }
 
 /// Back ends can't renew their entries while the store is unavailable; they are listed again soon after its
@@ -138,22 +140,22 @@
     let mut directory = listed(10, vec![backend(1, false), backend(2, true), backend(3, false)]);
     let gone = |number: u8| DirectoryChange::Gone(backend(number, false).instance);
     let all_gone = changes(20, vec![gone(1), gone(2), gone(3)]);
-    assert!(directory.apply(10, all_gone, Vanishing::MayHaveLapsed));
+    assert!(directory.apply(10, all_gone, RemovalCause::MaybeExpired));
     assert_eq!(directory.backends().count(), 0, "peers are sent only listed back ends");
     assert_eq!(directory.usable(&service).count(), 2, "one back end was draining");
     assert!(directory.get(&"b1".into()).is_some());
     let listed_again = changes(21, vec![DirectoryChange::Changed(backend(1, false))]);
-    assert!(directory.apply(20, listed_again, Vanishing::MayHaveLapsed));
-    assert_eq!((directory.usable(&service).count(), directory.lapsed()), (2, 1));
-    assert!(directory.drop_lapsed());
+    assert!(directory.apply(20, listed_again, RemovalCause::MaybeExpired));
+    assert_eq!((directory.usable(&service).count(), directory.expired()), (2, 1));
+    assert!(directory.drop_expired());
     assert_eq!(directory.usable(&service).count(), 1);
-    assert!(!directory.drop_lapsed());
+    assert!(!directory.drop_expired());
 }
 
 #[test]
 fn an_entry_that_vanishes_while_the_store_answers_is_gone() {
     let mut directory = listed(10, vec![backend(1, false)]);
-    directory.apply(10, changes(11, vec![DirectoryChange::Gone("b1".into())]), Vanishing::Gone);
+    directory.apply(10, changes(11, vec![DirectoryChange::Gone("b1".into())]), RemovalCause::Gone);
     assert!(directory.get(&"b1".into()).is_none());
 }
 
@@ -169,14 +171,14 @@
         while watched < last {
             let until = random.int_in_range(watched + 1..=last)?;
             if random.ratio(1, 4)? {
-                directory.replace(snapshot_at(&history, until), Vanishing::Gone);
+                directory.replace(snapshot_at(&history, until), RemovalCause::Gone);
             }
-            directory.apply(watched, changes_between(&history, watched, until), Vanishing::Gone);
+            directory.apply(watched, changes_between(&history, watched, until), RemovalCause::Gone);
             watched = until;
             for held in 0..directory.revision() {
                 let Some(changes) = directory.changes_since(held) else { continue };
                 let mut peer = listed_at(&history, held);
-                assert!(peer.apply(held, changes, Vanishing::Gone));
+                assert!(peer.apply(held, changes, RemovalCause::Gone));
                 assert_eq!(peer.snapshot(), directory.snapshot(), "from {held}");
                 assert_eq!(peer.digest(), directory.digest());
                 received += 1;
@@ -189,7 +191,7 @@
 
 fn listed_at(history: &History, revision: u64) -> Directory {
     let mut directory = Directory::default();
-    directory.replace(snapshot_at(history, revision), Vanishing::Gone);
+    directory.replace(snapshot_at(history, revision), RemovalCause::Gone);
     directory
 }
 
@@ -198,7 +200,7 @@
     let mut directory = listed(1, vec![backend(1, false)]);
     for revision in 1..10_000 {
         let change = DirectoryChange::Changed(backend(1, revision % 2 == 0));
-        directory.apply(revision, changes(revision + 1, vec![change]), Vanishing::Gone);
+        directory.apply(revision, changes(revision + 1, vec![change]), RemovalCause::Gone);
     }
     assert_eq!(directory.changes_since(1), None);
     assert_eq!(directory.changes_since(9_990).map(|changes| changes.changes.len()), Some(1));
@@ -225,7 +227,7 @@
 fn a_restarted_back_end_with_the_same_name_is_a_different_one() {
     let mut directory = listed(10, vec![backend_started_at(1)]);
     let changed = |born_ms| vec![DirectoryChange::Changed(backend_started_at(born_ms))];
-    assert!(directory.apply(10, changes(11, changed(2)), Vanishing::Gone));
+    assert!(directory.apply(10, changes(11, changed(2)), RemovalCause::Gone));
     assert_eq!(usable_ids(&directory), [backend_started_at(2).id]);
     assert!(directory.get(&backend_started_at(1).id).is_none(), "the ended process gets no requests");
     assert_eq!(
@@ -238,44 +240,44 @@
 fn entries_of_two_processes_in_the_wrong_order_lead_to_the_later_one() {
     let changed = |born_ms| DirectoryChange::Changed(backend_started_at(born_ms));
     let mut watched = listed(10, vec![backend_started_at(1)]);
-    assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), Vanishing::Gone));
+    assert!(watched.apply(10, changes(12, vec![changed(2), changed(1)]), RemovalCause::Gone));
     assert_eq!(usable_ids(&watched), [backend_started_at(2).id]);
     // A list with the last entry of the earlier process does not replace the newer one.
-    assert!(
-        watched.replace(
-            DirectorySnapshot { revision: 13, backends: vec![backend_started_at(1)] },
-            Vanishing::Gone
-        )
-    );
+    assert!(watched.replace(
+        DirectorySnapshot { revision: 13, backends: vec![backend_started_at(1)] },
+        RemovalCause::Gone
+    ));
     assert_eq!(usable_ids(&watched), [backend_started_at(2).id]);
     let mut peer = listed(10, vec![backend_started_at(1)]);
     let received = watched.changes_since(12).expect("known");
-    assert!(peer.apply(10, watched.changes_since(10).expect("known"), Vanishing::Gone));
-    assert!(peer.apply(12, received, Vanishing::Gone) || peer.revision() == 13);
+    assert!(peer.apply(10, watched.changes_since(10).expect("known"), RemovalCause::Gone));
+    assert!(peer.apply(12, received, RemovalCause::Gone) || peer.revision() == 13);
     assert_eq!(usable_ids(&peer), [backend_started_at(2).id]);
 }
 
 #[test]
 fn outdated_changes_of_an_earlier_process_are_ignored_by_a_partitioned_node() {
     let mut directory = listed(10, vec![backend_started_at(1)]);
-    directory.apply(10, changes(15, vec![DirectoryChange::Changed(backend_started_at(2))]), Vanishing::Gone);
+    directory.apply(
+        10,
+        changes(15, vec![DirectoryChange::Changed(backend_started_at(2))]),
+        RemovalCause::Gone,
+    );
     let old =
         changes(12, vec![DirectoryChange::Changed(Backend { draining: true, ..backend_started_at(1) })]);
-    assert!(!directory.apply(10, old, Vanishing::Gone));
-    assert!(
-        !directory.replace(
-            DirectorySnapshot { revision: 12, backends: vec![backend_started_at(1)] },
-            Vanishing::Gone
-        )
-    );
+    assert!(!directory.apply(10, old, RemovalCause::Gone));
+    assert!(!directory.replace(
+        DirectorySnapshot { revision: 12, backends: vec![backend_started_at(1)] },
+        RemovalCause::Gone
+    ));
     assert_eq!(usable_ids(&directory), [backend_started_at(2).id]);
 }
 
 #[test]
 fn pages_of_the_first_list_are_used_until_the_list_is_complete() {
     let mut directory = Directory::default();
-    assert!(directory.use_meanwhile(vec![backend(1, false)]));
-    assert!(directory.use_meanwhile(vec![backend(1, false), backend(2, true)]));
+    assert!(directory.use_partial_list(vec![backend(1, false)]));
+    assert!(directory.use_partial_list(vec![backend(1, false), backend(2, true)]));
     let usable = |directory: &Directory| -> Vec<BackendId> {
         let mut usable: Vec<BackendId> =
             directory.usable(&"model".into()).map(|backend| backend.id.clone()).collect();
@@ -287,9 +289,9 @@
     assert!(directory.snapshot().backends.is_empty());
     // The first back end was gone by the time the complete list was read.
     let complete = DirectorySnapshot { revision: 7, backends: vec![backend(3, false)] };
-    assert!(directory.replace(complete, Vanishing::Gone));
+    assert!(directory.replace(complete, RemovalCause::Gone));
     assert_eq!(usable(&directory), ["b3".into()]);
-    assert!(!directory.use_meanwhile(vec![backend(1, false)]), "the complete list is known");
+    assert!(!directory.use_partial_list(vec![backend(1, false)]), "the complete list is known");
     assert_eq!(usable(&directory), ["b3".into()]);
 }
 
@@ -298,13 +300,13 @@
 #[test]
 fn peers_receive_the_complete_list_after_its_pages_were_used() {
     let mut directory = Directory::default();
-    directory.use_meanwhile(vec![backend(1, false)]);
+    directory.use_partial_list(vec![backend(1, false)]);
     let complete = DirectorySnapshot { revision: 7, backends: vec![backend(1, false), backend(2, false)] };
-    directory.replace(complete, Vanishing::Gone);
+    directory.replace(complete, RemovalCause::Gone);
     let mut peer = Directory::default();
     match directory.changes_since(0) {
-        Some(changes) => assert!(peer.apply(0, changes, Vanishing::Gone)),
-        None => assert!(peer.replace(directory.snapshot(), Vanishing::Gone)),
+        Some(changes) => assert!(peer.apply(0, changes, RemovalCause::Gone)),
+        None => assert!(peer.replace(directory.snapshot(), RemovalCause::Gone)),
     }
     assert_eq!(peer.digest(), directory.digest());
 }
@@ -313,8 +315,8 @@
 #[test]
 fn changes_from_revision_zero_replace_the_pages_read_so_far() {
     let mut directory = Directory::default();
-    directory.use_meanwhile(vec![backend(1, false)]);
-    assert!(directory.apply(0, changes(7, Vec::new()), Vanishing::Gone));
+    directory.use_partial_list(vec![backend(1, false)]);
+    assert!(directory.apply(0, changes(7, Vec::new()), RemovalCause::Gone));
     assert_eq!(directory.usable(&"model".into()).count(), 0);
 }
 
@@ -324,18 +326,18 @@
 fn changes_sent_to_a_list_that_has_advanced_leave_no_stale_entries() {
     let mut peer = listed(10, vec![backend(1, false)]);
     // The peer reads the whole list and misses a back end that was added and removed in between.
-    peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, Vanishing::Gone);
+    peer.replace(DirectorySnapshot { revision: 20, backends: vec![backend(1, false)] }, RemovalCause::Gone);
     let mut own = listed(10, vec![backend(1, false)]);
     let received = peer.changes_since(own.revision()).expect("known");
     let came = DirectoryChange::Changed(backend(2, false));
-    assert!(own.apply(10, changes(15, vec![came]), Vanishing::Gone));
+    assert!(own.apply(10, changes(15, vec![came]), RemovalCause::Gone));
     assert!(
-        !own.apply_told(10, received, Vanishing::Gone),
+        !own.apply_peer_changes(10, received, RemovalCause::Gone),
         "the changes omit the removal of the other back end"
     );
     // Asked again for changes from the current revision, the peer has none.
     assert_eq!(peer.changes_since(own.revision()), None);
-    assert!(own.replace(peer.snapshot(), Vanishing::Gone));
+    assert!(own.replace(peer.snapshot(), RemovalCause::Gone));
     assert_eq!(own.snapshot(), peer.snapshot());
 }
 
@@ -344,17 +346,17 @@
 fn a_read_of_the_same_revision_replaces_a_list_that_differs() {
     let mut directory = listed(10, vec![backend(1, false)]);
     // A watch result had a later revision without the change that led to it.
-    directory.apply(10, changes(20, Vec::new()), Vanishing::Gone);
+    directory.apply(10, changes(20, Vec::new()), RemovalCause::Gone);
     let read = DirectorySnapshot { revision: 20, backends: vec![backend(2, false)] };
     assert!(
-        !directory.clone().replace(read.clone(), Vanishing::Gone),
+        !directory.clone().replace(read.clone(), RemovalCause::Gone),
         "a snapshot from a peer is applied only if it is newer"
     );
-    assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Changed);
+    assert_eq!(directory.reconcile(read.clone(), RemovalCause::Gone), Reconciliation::Changed);
     assert_eq!(directory.snapshot(), read);
     assert_eq!(directory.changes_since(10), None, "the changes that led to it are not sent to peers");
-    assert_eq!(directory.correct(read.clone(), Vanishing::Gone), Correction::Confirmed);
+    assert_eq!(directory.reconcile(read.clone(), RemovalCause::Gone), Reconciliation::Confirmed);
     let older = DirectorySnapshot { revision: 19, backends: vec![backend(1, false)] };
-    assert_eq!(directory.correct(older, Vanishing::Gone), Correction::Outdated);
+    assert_eq!(directory.reconcile(older, RemovalCause::Gone), Reconciliation::Outdated);
     assert_eq!(directory.snapshot(), read);
 }
--- a/crates/beamwall-gateway/tests/fleet_clock.rs
+++ b/crates/beamwall-gateway/tests/fleet_clock.rs
@@ -25,7 +25,7 @@
 fn report_clocks(clock: &FleetClock, peers: usize, off: usize, after: Duration) {
     for number in 0..peers {
         let reported = if number < off { true_time(after) + STEP } else { true_time(after) };
-        clock.hear(&format!("n{number}").as_str().into(), reported, Instant::now());
+        clock.record_peer_time(&format!("n{number}").as_str().into(), reported, Instant::now());
     }
 }
 
@@ -73,7 +73,11 @@
         if step % 20 == 0 {
             for clock in &clocks {
                 (0..nodes).for_each(|node| {
-                    clock.hear(&format!("n{node}").as_str().into(), local_time(node), Instant::now())
+                    clock.record_peer_time(
+                        &format!("n{node}").as_str().into(),
+                        local_time(node),
+                        Instant::now(),
+                    )
                 });
             }
         }
--- a/crates/beamwall-gateway/tests/placement_groups.rs
+++ b/crates/beamwall-gateway/tests/placement_groups.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use beamwall_engine_model::PrefillWork;
-use beamwall_gateway::candidates::{ChosenBy, Knowledge, Search};
+use beamwall_gateway::candidates::{BackendState, ChosenBy, Search};
 use beamwall_gateway::choice::{Expectation, choose};
 use beamwall_gateway::placement_groups::{EngineGroup, EngineGroups};
 use beamwall_gateway::{Directory, Prompt, PromptPart};
@@ -35,10 +35,10 @@
     directory.groups(&"pool".into()).expect("engines").clone()
 }
 
-fn knowledge() -> Knowledge {
-    let knowledge = Knowledge::default();
-    support::add_peer_statistics(&knowledge.models, support::statistics_with_running_ms(0.0));
-    knowledge
+fn backend_state() -> BackendState {
+    let backend_state = BackendState::default();
+    support::add_peer_statistics(&backend_state.models, support::statistics_with_running_ms(0.0));
+    backend_state
 }
 
 fn unique_prompt(tokens: u32, number: u64) -> Prompt {
@@ -49,7 +49,12 @@
     support::prefill_ms(PrefillWork::of_uncached(0, u64::from(tokens)))
 }
 
-fn place(knowledge: &Knowledge, directory: &Directory, prompt: &Prompt, group: EngineGroup) -> BackendId {
+fn place(
+    backend_state: &BackendState,
+    directory: &Directory,
+    prompt: &Prompt,
+    group: EngineGroup,
+) -> BackendId {
     let search = Search {
         service: &"pool".into(),
         zone: &"a".into(),
@@ -59,12 +64,12 @@
         versions: None,
         by: ChosenBy::Placer,
     };
-    let candidates = knowledge.candidates(directory, search);
-    let estimates = knowledge.models.estimates(search.service);
+    let candidates = backend_state.candidates(directory, search);
+    let estimates = backend_state.models.estimates(search.service);
     let expectation = Expectation { estimates: &estimates, pause_objective_ms: None };
     let chosen = choose(&candidates, &expectation).expect("an engine").0.backend.clone();
     let prefill_ms = estimates.prefill_ms(PrefillWork::of_uncached(0, u64::from(prompt.prompt_tokens)));
-    knowledge.queues.add(&chosen, prefill_ms.expect("known"), Instant::now());
+    backend_state.queues.add(&chosen, prefill_ms.expect("known"), Instant::now());
     chosen
 }
 
@@ -74,7 +79,7 @@
 }
 
 /// Several nodes that each place a share of the prompts at all engines, without coordination.
-struct Uncoordinated(Vec<Knowledge>);
+struct Uncoordinated(Vec<BackendState>);
 
 impl PlacementScheme for Uncoordinated {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
@@ -84,7 +89,7 @@
 }
 
 /// One placement node for each group of engines.
-struct Grouped(Vec<Knowledge>);
+struct Grouped(Vec<BackendState>);
 
 impl PlacementScheme for Grouped {
     fn place(&self, directory: &Directory, prompt: &Prompt, random: u64) -> BackendId {
@@ -117,10 +122,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn prompts_hardly_wait_when_each_group_has_its_own_placer() {
+async fn prompts_hardly_wait_when_each_group_has_its_own_placement_node() {
     let groups = groups_of(&directory(ENGINES)).in_order(&unique_prompt(1, 1), 1).len();
-    let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| knowledge()).collect())).await;
-    let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| knowledge()).collect())).await;
+    let grouped_ms = wait_p90_ms(Grouped((0..groups).map(|_| backend_state()).collect())).await;
+    let uncoordinated_ms = wait_p90_ms(Uncoordinated((0..5).map(|_| backend_state()).collect())).await;
     println!(
         "p90 of the wait: {grouped_ms:.0} ms in groups, {uncoordinated_ms:.0} ms with five uncoordinated nodes"
     );
@@ -132,7 +137,7 @@
 fn every_engine_is_in_one_group_and_few_move_when_the_group_count_changes() {
     let engines: Vec<BackendId> = (0..ENGINES).map(|number| format!("e{number}").as_str().into()).collect();
     let group_of = |backend: &BackendId, count: u32| {
-        let holds = |number: &u32| EngineGroup { number: *number, count }.holds(backend);
+        let holds = |number: &u32| EngineGroup { number: *number, count }.contains_engine(backend);
         let groups: Vec<u32> = (0..count).filter(holds).collect();
         assert_eq!(groups.len(), 1, "{backend} of {count} groups");
         groups[0]
@@ -175,7 +180,9 @@
         for number in 0..count {
             let group = EngineGroup { number, count };
             let engines = directory.usable_in_group(&"pool".into(), group);
-            found.extend(engines.map(|engine| engine.id.clone()).inspect(|id| assert!(group.holds(id))));
+            found.extend(
+                engines.map(|engine| engine.id.clone()).inspect(|id| assert!(group.contains_engine(id))),
+            );
         }
         found.sort();
         found.dedup();
--- a/crates/beamwall-gateway/tests/scaling.rs
+++ b/crates/beamwall-gateway/tests/scaling.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use beamwall_gateway::ports::CapacityOrder;
-use beamwall_gateway::scaling::{GivenOrder, OrderKey, ScalingInputs, ZoneSupply, due, note_usable, plan};
+use beamwall_gateway::scaling::{
+    OrderKey, ScalingInputs, SubmittedOrder, ZoneSupply, note_usable, orders_due, plan,
+};
 use beamwall_gateway::sizing::Needed;
 use beamwall_model::ServiceName;
 use beamwall_policy::ScalingLimits;
@@ -50,9 +52,9 @@
     let on_demand = u32::from(zone == "a");
     ZoneSupply {
         zone: zone.into(),
-        lasting_usable: on_demand,
+        on_demand_usable: on_demand,
         reclaimable_usable,
-        lasting_ordered: on_demand,
+        on_demand_ordered: on_demand,
         is_exhausted,
     }
 }
@@ -142,7 +144,7 @@
         planned(&limits, &zones, 1.8, 0)[0].1
     };
     assert_eq!(on_demand(supply("a", 0, true)), 3);
-    let booting = ZoneSupply { lasting_ordered: 4, ..supply("a", 0, false) };
+    let booting = ZoneSupply { on_demand_ordered: 4, ..supply("a", 0, false) };
     assert_eq!(on_demand(booting.clone()), 3, "the order was accepted, but no back end serves yet");
     assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 1, ..booting.clone() }), 2);
     assert_eq!(on_demand(ZoneSupply { reclaimable_usable: 2, ..booting }), 1);
@@ -161,18 +163,18 @@
     };
     let orders = plan(&inputs);
     let at = Instant::now();
-    let mut given: BTreeMap<OrderKey, GivenOrder> =
-        orders.iter().map(|order| (OrderKey::of(order), GivenOrder::new(order.wanted, at))).collect();
+    let mut submitted: BTreeMap<OrderKey, SubmittedOrder> =
+        orders.iter().map(|order| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at))).collect();
     let later = at + Duration::from_secs(60);
-    assert!(due(&orders, &given, &inputs, later).is_empty());
+    assert!(orders_due(&orders, &submitted, &inputs, later).is_empty());
     // The reclaimable back end was reclaimed. It is ordered again after the time that it would have needed to
     // boot.
     let remaining = [supply("a", 0, false)];
     let inputs = ScalingInputs { zones: &remaining, ..inputs };
-    assert!(due(&orders, &given, &inputs, at + Duration::from_secs(5)).is_empty());
-    assert_eq!(due(&orders, &given, &inputs, later), [orders[1].clone()]);
-    given.insert(OrderKey::of(&orders[0]), GivenOrder::new(5, at));
-    assert_eq!(due(&orders, &given, &inputs, at), [orders[0].clone()]);
+    assert!(orders_due(&orders, &submitted, &inputs, at + Duration::from_secs(5)).is_empty());
+    assert_eq!(orders_due(&orders, &submitted, &inputs, later), [orders[1].clone()]);
+    submitted.insert(OrderKey::of(&orders[0]), SubmittedOrder::new(5, at));
+    assert_eq!(orders_due(&orders, &submitted, &inputs, at), [orders[0].clone()]);
 }
 
 /// Guards against: a zone's reclaimable back ends are reclaimed while no others are available, and the duties
@@ -192,18 +194,21 @@
     let (all, fewer) = ([supply("a", 3, false)], [supply("a", 2, false)]);
     let orders = plan(&inputs(&all));
     let at = Instant::now();
-    let given_now = |order: &CapacityOrder| (OrderKey::of(order), GivenOrder::new(order.wanted, at));
-    let mut given: BTreeMap<OrderKey, GivenOrder> = orders.iter().map(given_now).collect();
+    let submitted_now = |order: &CapacityOrder| (OrderKey::of(order), SubmittedOrder::new(order.wanted, at));
+    let mut submitted: BTreeMap<OrderKey, SubmittedOrder> = orders.iter().map(submitted_now).collect();
     let soon = at + Duration::from_millis(500);
-    assert!(due(&orders, &given, &inputs(&fewer), soon).is_empty(), "the back ends are still booting");
-    note_usable(&mut given, &service, &all);
-    assert!(due(&orders, &given, &inputs(&all), soon).is_empty());
-    note_usable(&mut given, &service, &fewer);
-    assert_eq!(due(&orders, &given, &inputs(&fewer), soon), [orders[1].clone()]);
+    assert!(
+        orders_due(&orders, &submitted, &inputs(&fewer), soon).is_empty(),
+        "the back ends are still booting"
+    );
+    note_usable(&mut submitted, &service, &all);
+    assert!(orders_due(&orders, &submitted, &inputs(&all), soon).is_empty());
+    note_usable(&mut submitted, &service, &fewer);
+    assert_eq!(orders_due(&orders, &submitted, &inputs(&fewer), soon), [orders[1].clone()]);
     // After the new order, the back end gets time to boot.
-    given.insert(OrderKey::of(&orders[1]), GivenOrder::new(orders[1].wanted, soon));
-    note_usable(&mut given, &service, &fewer);
-    assert!(due(&orders, &given, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
+    submitted.insert(OrderKey::of(&orders[1]), SubmittedOrder::new(orders[1].wanted, soon));
+    note_usable(&mut submitted, &service, &fewer);
+    assert!(orders_due(&orders, &submitted, &inputs(&fewer), soon + Duration::from_millis(500)).is_empty());
 }
 
 /// Guards against: three zones lose their reclaimable engines one after another, six seconds apart, while
@@ -223,7 +228,7 @@
 #[test]
 fn a_new_lease_holder_keeps_existing_substitutes() {
     let limits = ScalingLimits { maximum: 46, ..limits(true) };
-    let found = |zone| ZoneSupply { lasting_usable: 6, lasting_ordered: 6, ..supply(zone, 5, false) };
+    let found = |zone| ZoneSupply { on_demand_usable: 6, on_demand_ordered: 6, ..supply(zone, 5, false) };
     let zones = [found("a"), found("b")];
     // Load 12 needs twenty back ends: ten reclaimable and ten on-demand ones.
     assert_eq!(wanted_at(12.0, &zones, &limits, false), [6, 4]);
--- a/crates/beamwall-gateway/tests/sizing.rs
+++ b/crates/beamwall-gateway/tests/sizing.rs
@@ -4,7 +4,10 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use beamwall_engine_model::{ServiceEstimates, Workload};
-use beamwall_gateway::sizing::{self, AFTER_LOSS, Objectives, STANDING_IN, USUAL, fewest, usual_fullness};
+use beamwall_gateway::sizing::{
+    self, AFTER_LOSS_UTILIZATION, NORMAL_UTILIZATION, Objectives, SUBSTITUTE_UTILIZATION, min_back_ends,
+    normal_utilization,
+};
 use beamwall_seeds::on_seeds;
 
 const SLOTS: u32 = 24;
@@ -30,11 +33,11 @@
     let estimates = estimates();
     on_seeds(2_000, |random| {
         let work = random_work(random)?;
-        let count = fewest(work, &estimates, SLOTS, OBJECTIVES, USUAL).expect("known");
+        let count = min_back_ends(work, &estimates, SLOTS, OBJECTIVES, NORMAL_UTILIZATION).expect("known");
         let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
-            one.running <= f64::from(SLOTS) * USUAL.slots
-                && one.prefill_share <= USUAL.reading
+            one.running <= f64::from(SLOTS) * NORMAL_UTILIZATION.slots
+                && one.prefill_share <= NORMAL_UTILIZATION.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
@@ -57,8 +60,9 @@
         let more = work * (1.0 + f64::from(random.int_in_range(0..=50_u32)?) / 10.0);
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         assert!(needed.usual >= needed.standing_in && needed.standing_in >= needed.after_loss);
-        for fullness in [USUAL, STANDING_IN, AFTER_LOSS] {
-            let count = |work| fewest(work, &estimates, SLOTS, OBJECTIVES, fullness).expect("known");
+        for utilization in [NORMAL_UTILIZATION, SUBSTITUTE_UTILIZATION, AFTER_LOSS_UTILIZATION] {
+            let count =
+                |work| min_back_ends(work, &estimates, SLOTS, OBJECTIVES, utilization).expect("known");
             assert!(count(more) >= count(work));
         }
         Ok(())
@@ -67,7 +71,10 @@
 
 #[test]
 fn no_work_needs_no_back_ends_and_unknown_engines_give_no_number() {
-    assert_eq!(fewest(Workload::default(), &estimates(), SLOTS, OBJECTIVES, USUAL), Some(0));
+    assert_eq!(
+        min_back_ends(Workload::default(), &estimates(), SLOTS, OBJECTIVES, NORMAL_UTILIZATION),
+        Some(0)
+    );
     let work = Workload { requests: 5.0, tokens: 1_000.0, pairs: 0.0, events: 10.0 };
     assert_eq!(sizing::needed(work, &ServiceEstimates::default(), SLOTS, OBJECTIVES), None);
 }
@@ -78,7 +85,8 @@
     let work = Workload { requests: 5.0, tokens: 5_000.0, pairs: 0.0, events: 50.0 };
     let impossible = Objectives { first_event_ms: 1.0, pause_ms: Some(1.0) };
     let free = Objectives { first_event_ms: f64::MAX, pause_ms: None };
-    let count = |objectives| fewest(work, &estimates(), SLOTS, objectives, USUAL).expect("known");
+    let count =
+        |objectives| min_back_ends(work, &estimates(), SLOTS, objectives, NORMAL_UTILIZATION).expect("known");
     assert_eq!(count(impossible), count(free));
 }
 
@@ -88,15 +96,18 @@
 #[test]
 fn many_back_ends_may_have_higher_utilization_than_few() {
     for count in 1..=25 {
-        assert_eq!(usual_fullness(count), USUAL, "{count} back ends");
+        assert_eq!(normal_utilization(count), NORMAL_UTILIZATION, "{count} back ends");
     }
-    let mut before = USUAL.reading;
+    let mut before = NORMAL_UTILIZATION.prefill;
     for count in [30, 60, 100, 160, 1_000, 10_000] {
-        let fullness = usual_fullness(count);
-        assert!(fullness.reading >= before && fullness.reading <= 0.6, "{fullness:?} of {count} back ends");
-        before = fullness.reading;
+        let utilization = normal_utilization(count);
+        assert!(
+            utilization.prefill >= before && utilization.prefill <= 0.6,
+            "{utilization:?} of {count} back ends"
+        );
+        before = utilization.prefill;
         // After the loss of a fifth of the back ends, the remaining ones are below full utilization.
-        assert!(fullness.reading / 0.8 < 0.8, "{fullness:?} of {count} back ends");
+        assert!(utilization.prefill / 0.8 < 0.8, "{utilization:?} of {count} back ends");
     }
 }
 
@@ -109,9 +120,9 @@
         let needed = sizing::needed(work, &estimates, SLOTS, OBJECTIVES).expect("known");
         let meets_objectives = |count: u32| {
             let one = estimates.occupancy(work / f64::from(count)).expect("known");
-            let fullness = usual_fullness(count);
-            one.running <= f64::from(SLOTS) * fullness.slots
-                && one.prefill_share <= fullness.reading
+            let utilization = normal_utilization(count);
+            one.running <= f64::from(SLOTS) * utilization.slots
+                && one.prefill_share <= utilization.prefill
                 && one.first_event_ms <= OBJECTIVES.first_event_ms
                 && one.event_gap_ms <= 60.0
         };
--- a/crates/beamwall-gateway/tests/suspension.rs
+++ b/crates/beamwall-gateway/tests/suspension.rs
@@ -14,7 +14,7 @@
 fn the_time_of_day_from_peers_advances_during_a_suspension() {
     let clock = FleetClock::default();
     for peer in ["n1", "n2"] {
-        clock.hear(&peer.into(), SystemTime::now(), now());
+        clock.record_peer_time(&peer.into(), SystemTime::now(), now());
     }
     simulation::suspend_for(SUSPENDED_FOR);
     // The simulation also stops the local wall clock, which is outvoted by two peers.
@@ -26,7 +26,7 @@
 fn old_peer_clock_readings_are_ignored() {
     let clock = FleetClock::default();
     for peer in ["n1", "n2"] {
-        clock.hear(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
+        clock.record_peer_time(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
     }
     simulation::suspend_for(Duration::from_secs(10));
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
@@ -40,7 +40,7 @@
 async fn an_open_request_times_out_soon_after_the_machine_wakes() {
     let mut call = support::call(0, None, 100);
     call.deadline = call.received + SUSPENDED_FOR;
-    let mut time_is_up = std::pin::pin!(call.time_is_up());
+    let mut time_is_up = std::pin::pin!(call.deadline_elapsed());
     let before_suspension = tokio::time::timeout(Duration::from_millis(100), &mut time_is_up).await;
     assert!(before_suspension.is_err(), "{:?} remaining", call.remaining());
     simulation::suspend_for(SUSPENDED_FOR);
--- a/crates/beamwall-gateway/tests/usage.rs
+++ b/crates/beamwall-gateway/tests/usage.rs
@@ -45,7 +45,7 @@
     survivor.merge(&"n1".into(), 1, killed.recent(3));
     for _ in 0..2 {
         // Merging twice counts once.
-        for (node, generation, counts) in survivor.lives(3) {
+        for (node, generation, counts) in survivor.generations(3) {
             started.merge(&node, generation, counts);
         }
     }
@@ -62,7 +62,7 @@
         counted.record(&"alder".into(), second(generation * 5));
         ledger.merge(&"n1".into(), generation, counted.recent(3));
     }
-    assert!(ledger.lives(3).len() < 20);
+    assert!(ledger.generations(3).len() < 20);
     assert_eq!(ledger.total(99).counts, [("alder".into(), 1)].into());
 }
 
@@ -96,20 +96,20 @@
 /// added up.
 #[test]
 fn stored_counts_are_carried_over_when_all_processes_end() {
-    let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
-    let other = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
+    let before = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
+    let other = UsageLedger::new(WINDOW).for_generation(&"n2".into(), 1);
     before.record(&"alder".into(), second(10));
     other.record(&"alder".into(), second(11));
     before.merge(&"n2".into(), 1, other.recent(3));
-    let stored = before.to_carry(2);
-    let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(stored);
+    let stored = before.to_checkpoint(2);
+    let after = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 2);
+    after.restore_checkpoint(stored);
     after.record(&"alder".into(), second(13));
     assert_eq!(after.total(2).counts, [("alder".into(), 3)].into());
     // Carried over once more, with a generation that is also known from a peer.
-    let last = UsageLedger::new(WINDOW).of_life(&"n3".into(), 1);
+    let last = UsageLedger::new(WINDOW).for_generation(&"n3".into(), 1);
     last.merge(&"n2".into(), 1, other.recent(3));
-    last.carry(after.to_carry(2));
+    last.restore_checkpoint(after.to_checkpoint(2));
     last.record(&"birch".into(), second(14));
     assert_eq!(last.total(2).counts, [("alder".into(), 3), ("birch".into(), 1)].into());
 }
@@ -118,16 +118,16 @@
 /// they continued to count after their counts were stored.
 #[test]
 fn stored_counts_of_running_processes_count_once() {
-    let lease_holder = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
-    let successor = UsageLedger::new(WINDOW).of_life(&"n2".into(), 1);
+    let lease_holder = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
+    let successor = UsageLedger::new(WINDOW).for_generation(&"n2".into(), 1);
     lease_holder.record(&"alder".into(), second(10));
     successor.record(&"alder".into(), second(10));
     lease_holder.merge(&"n2".into(), 1, successor.recent(3));
-    let stored = lease_holder.to_carry(2);
+    let stored = lease_holder.to_checkpoint(2);
     lease_holder.record(&"alder".into(), second(11));
     successor.record(&"alder".into(), second(12));
     successor.merge(&"n1".into(), 1, lease_holder.recent(3));
-    successor.carry(stored);
+    successor.restore_checkpoint(stored);
     assert_eq!(successor.total(2).counts, [("alder".into(), 4)].into());
 }
 
@@ -138,7 +138,7 @@
     beamwall_seeds::on_seeds(2_000, |random| {
         let mut generations = [0_u64; 3];
         let new = |node: usize, generation: u64| {
-            UsageLedger::new(WINDOW).of_life(&format!("n{node}").as_str().into(), generation)
+            UsageLedger::new(WINDOW).for_generation(&format!("n{node}").as_str().into(), generation)
         };
         let mut nodes: Vec<UsageLedger> = (0..3).map(|node| new(node, 0)).collect();
         let (mut ran, mut stored, mut stored_total) = (0, None, 0);
@@ -161,11 +161,11 @@
                 }
                 4 => {
                     // One node takes over the duty and stores its counts.
-                    nodes[node].carry(stored.take().unwrap_or_default());
+                    nodes[node].restore_checkpoint(stored.take().unwrap_or_default());
                     let total = nodes[node].total(2).counts.values().sum();
                     assert!(total >= stored_total, "total {total} is below the stored {stored_total}");
                     assert!(total <= ran, "total {total} exceeds the {ran} requests run");
-                    (stored, stored_total) = (Some(nodes[node].to_carry(0)), total);
+                    (stored, stored_total) = (Some(nodes[node].to_checkpoint(0)), total);
                 }
                 _ => {
                     generations[node] += 1;
@@ -183,10 +183,10 @@
 #[test]
 fn what_zones_count_after_all_nodes_were_killed_comes_on_top() {
     let sum = |requests| vec![WindowCounts { window: 2, counts: [("alder".into(), requests)].into() }];
-    let before = UsageLedger::new(WINDOW).of_life(&"n1".into(), 1);
+    let before = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 1);
     before.merge_zone(&"b".into(), sum(10));
-    let after = UsageLedger::new(WINDOW).of_life(&"n1".into(), 2);
-    after.carry(before.to_carry(2));
+    let after = UsageLedger::new(WINDOW).for_generation(&"n1".into(), 2);
+    after.restore_checkpoint(before.to_checkpoint(2));
     after.merge_zone(&"b".into(), sum(4));
     assert_eq!(after.total(2).counts, [("alder".into(), 14)].into());
 }
--- a/crates/beamwall-node/src/gateway/directory_sync.rs
+++ b/crates/beamwall-node/src/gateway/directory_sync.rs
@@ -42,7 +42,7 @@
     /// Records the revision and digest of the list that a peer holds, and fetches the list if it is newer.
     pub(super) fn note_directory_revision(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
         let directory = self.directory.load();
-        self.gateway.forwarder.knowledge.doubts.note_peer(peer, revision, digest, Instant::now());
+        self.gateway.forwarder.backend_state.staleness.note_peer(peer, revision, digest, Instant::now());
         let differs = digest != directory.digest();
         if differs && self.directory_versions.note(peer, revision, directory.revision()) {
             tokio::spawn(self.clone().fetch_directory());
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -141,14 +141,14 @@
             in_zone.filter(|backend| backend.reclaimable == reclaimable).count() as u32
         };
         let key = |reclaimable| OrderKey::new(&service.name, zone, reclaimable);
-        let lasting_usable = usable(false);
+        let on_demand_usable = usable(false);
         ZoneSupply {
             zone: zone.clone(),
-            lasting_usable,
+            on_demand_usable,
             reclaimable_usable: usable(true),
             // Without a saved order of the predecessor, the usable back ends are the result of what it
             // ordered.
-            lasting_ordered: tracker.last_ordered(&key(false)).unwrap_or(lasting_usable),
+            on_demand_ordered: tracker.last_ordered(&key(false)).unwrap_or(on_demand_usable),
             is_exhausted: tracker.is_exhausted(&key(true)),
         }
     }
@@ -198,6 +198,6 @@
             floor: self.floor(&service.name),
         };
         scaling::note_usable(tracker.placed_mut(), inputs.service, &zones);
-        scaling::due(&scaling::plan(&inputs), tracker.placed(), &inputs, Instant::now())
+        scaling::orders_due(&scaling::plan(&inputs), tracker.placed(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
+++ b/crates/beamwall-node/src/gateway/duties/demand_tracker.rs
@@ -42,7 +42,7 @@
         self.work = newest.max(self.work.weighted_mean(newest, DECAY_WEIGHT));
         self.is_known = gateway.forwarder.estimates(service).is_known();
         let directory = gateway.forwarder.directory.load();
-        if self.is_demand_unknown() && directory.is_whole() {
+        if self.is_demand_unknown() && directory.is_fully_loaded() {
             let usable = directory.usable(service).count();
             if usable > self.peak_backends {
                 self.peak_backends = usable;
--- a/crates/beamwall-node/src/gateway/duties/mod.rs
+++ b/crates/beamwall-node/src/gateway/duties/mod.rs
@@ -182,7 +182,7 @@
     async fn run_due(&self, term: &mut LeaseTerm) {
         // With a partial list a rollout would appear complete, and back ends that are not listed yet would be
         // released.
-        let knows_all = self.directory.load().is_whole();
+        let knows_all = self.directory.load().is_fully_loaded();
         if let Some(rollouts) = self.rollouts.as_ref().filter(|_| knows_all) {
             rollouts.decide_due(&mut term.rollouts, &term.lease_hold).await;
         }
--- a/crates/beamwall-node/src/gateway/duties/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/duties/rollouts.rs
@@ -41,7 +41,7 @@
 impl RolloutDuty {
     /// Creates the duty with the given `bounds`.
     pub(super) fn new(gateway: Arc<Gateway>, store: Arc<dyn RolloutStore>, bounds: Bounds) -> Self {
-        let heartbeat_trigger = gateway.news.clone();
+        let heartbeat_trigger = gateway.peer_notify.clone();
         Self { gateway, store, bounds, heartbeat_trigger }
     }
 
@@ -110,7 +110,7 @@
 
     fn supply(&self, id: &OrderId) -> VersionCapacity {
         let directory = self.gateway.forwarder.directory.load();
-        let loads = &self.gateway.forwarder.knowledge.loads;
+        let loads = &self.gateway.forwarder.backend_state.loads;
         let mut supply = VersionCapacity::default();
         for backend in directory.backends().filter(|backend| backend.service == id.service) {
             let is_new = backend.version == id.target;
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -125,7 +125,7 @@
 impl PeerExchange {
     /// Requests that this node has open at back ends.
     pub fn open_requests(&self) -> u32 {
-        self.gateway.forwarder.knowledge.loads.own().iter().map(|(_, load)| load.requests).sum()
+        self.gateway.forwarder.backend_state.loads.own().iter().map(|(_, load)| load.requests).sum()
     }
 
     /// Members whose usage may be incomplete here, because they are silent and may still serve callers. A
@@ -211,7 +211,7 @@
         let demands = heartbeat_wire::encode_demands(self.close_demand_period());
         self.fit_models();
         self.note_silent_zones();
-        self.gateway.forwarder.quarantine.forget_old();
+        self.gateway.forwarder.quarantine.remove_expired();
         let (models, slowness) = self.own_observations();
         let base = self.heartbeat_without_quotas(tick.updates);
         let usage = if self.is_large_deployment() { self.usage_delta() } else { base.usage };
@@ -292,7 +292,7 @@
             demands: Vec::new(),
             models: Vec::new(),
             slowness: Vec::new(),
-            loads: heartbeat_wire::encode_loads(forwarder.knowledge.loads.own()),
+            loads: heartbeat_wire::encode_loads(forwarder.backend_state.loads.own()),
             life: self.generation,
             usage: heartbeat_wire::encode_usage(forwarder.usage.recent(REPORTED_WINDOWS)),
             members_known: u32::try_from(self.members.load().members.len()).unwrap_or(u32::MAX),
@@ -412,7 +412,7 @@
     fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, incoming_heartbeat: GatewayBeat) {
         if incoming_heartbeat.time_ms > 0 {
             let sender_time = UNIX_EPOCH + Duration::from_millis(incoming_heartbeat.time_ms);
-            self.gateway.forwarder.clock.hear(
+            self.gateway.forwarder.clock.record_peer_time(
                 &NodeId::new(&envelope.sender),
                 sender_time,
                 beamwall_clock::now(),
@@ -466,7 +466,7 @@
         }
         let reporter = Reporter::Node(node.clone());
         let forwarder = &self.gateway.forwarder;
-        forwarder.knowledge.loads.set_peer(&reporter, heartbeat_wire::decode_loads(heartbeat.loads));
+        forwarder.backend_state.loads.set_peer(&reporter, heartbeat_wire::decode_loads(heartbeat.loads));
         forwarder.usage.merge(&node, heartbeat.life, heartbeat_wire::decode_usage(heartbeat.usage));
         if !heartbeat.demands.is_empty() {
             forwarder.demand.set_peer(&reporter, heartbeat_wire::decode_demands(&heartbeat.demands));
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -32,7 +32,7 @@
             life: generation,
             usage: heartbeat_wire::encode_usage(usage),
         };
-        let generations = self.gateway.forwarder.usage.lives(REPORTED_WINDOWS);
+        let generations = self.gateway.forwarder.usage.generations(REPORTED_WINDOWS);
         UsageKnown { lives: generations.into_iter().map(encode_generation).collect() }
     }
 
--- a/crates/beamwall-node/src/gateway/listing.rs
+++ b/crates/beamwall-node/src/gateway/listing.rs
@@ -126,7 +126,7 @@
 
     /// Serves callers from the entries read so far while no whole list is available.
     async fn use_partial_list(&self, read: &DirectorySnapshot) {
-        if !self.current.load().is_whole() {
+        if !self.current.load().is_fully_loaded() {
             // The actor stops only together with the node.
             let _ = self.directory_updates.tell(UseMeanwhile { read: read.backends.clone() }).await;
         }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -46,9 +46,9 @@
 use beamwall_config::GatewaySettings;
 use beamwall_events::emit;
 use beamwall_events::internal_events::NodeStarted;
-use beamwall_gateway::candidates::Knowledge;
+use beamwall_gateway::candidates::BackendState;
 use beamwall_gateway::choice::Chooser;
-use beamwall_gateway::demand::DemandBook;
+use beamwall_gateway::demand::DemandTracker;
 use beamwall_gateway::fleet_clock::FleetClock;
 use beamwall_gateway::forward::Forwarder;
 use beamwall_gateway::metrics::GatewayMetrics;
@@ -326,13 +326,13 @@
         dialect: ports.dialect.clone(),
         pool,
         directory,
-        knowledge: Knowledge::default(),
+        backend_state: BackendState::default(),
         chooser: Chooser::new(settings.choice),
         placement,
-        demand: DemandBook::default(),
+        demand: DemandTracker::default(),
         rollouts: RolloutRegistry::default(),
         retries: RetryBudgets::new(retries, nodes),
-        usage: UsageLedger::new(settings.usage_window).of_life(&settings.node, generation),
+        usage: UsageLedger::new(settings.usage_window).for_generation(&settings.node, generation),
         clock,
         quarantine: Arc::new(quarantine),
         metrics: GatewayMetrics::new(registry)?,
@@ -346,7 +346,7 @@
     let quotas = QuotaLimiter::new(settings.quota_slack * QUOTA_SLACK_USED, nodes)
         .with_tolerance(tolerance)
         .with_generation(generation);
-    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, news: Arc::default() }))
+    Ok(Arc::new(Gateway { policy: Arc::default(), quotas, forwarder, peer_notify: Arc::default() }))
 }
 
 /// Converts a ratio to whole percent.
@@ -406,7 +406,7 @@
         )),
         directory,
         readiness: readiness.clone(),
-        heartbeat_trigger: gateway.news.clone(),
+        heartbeat_trigger: gateway.peer_notify.clone(),
         versions_changed,
         started: Instant::now(),
         demand_measured_at: Mutex::new(Instant::now()),
--- a/crates/beamwall-node/src/gateway/observations.rs
+++ b/crates/beamwall-node/src/gateway/observations.rs
@@ -27,7 +27,7 @@
         if !self.model_fit_throttle.admit(FIT_PERIOD) {
             return;
         }
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         for service in models.refresh(Instant::now()) {
             let estimates = models.estimates(&service);
             emit(&EngineModelLearnt {
@@ -41,7 +41,7 @@
 
     /// Observations of this node, for its peers; service statistics are included only periodically.
     pub(super) fn own_observations(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         let slowness = heartbeat_wire::encode_slowness(models.own_slowness(Instant::now()));
         let reported = if self.is_model_report_due() { models.own_statistics() } else { Vec::new() };
         (heartbeat_wire::encode_models(reported), slowness)
@@ -49,7 +49,7 @@
 
     /// Observations of the nodes of this zone, for other zones.
     pub(super) fn observations_of_zone(&self) -> (Vec<ServiceModel>, Vec<BackendSlowness>) {
-        let models = &self.gateway.forwarder.knowledge.models;
+        let models = &self.gateway.forwarder.backend_state.models;
         let is_node = |reporter: &Reporter| matches!(reporter, Reporter::Node(_));
         let slowness = heartbeat_wire::encode_slowness(models.merged_slowness(is_node, Instant::now()));
         (heartbeat_wire::encode_models(models.merged_statistics(is_node)), slowness)
@@ -63,7 +63,7 @@
         models: &[ServiceModel],
         slowness: &[BackendSlowness],
     ) {
-        let known = &self.gateway.forwarder.knowledge.models;
+        let known = &self.gateway.forwarder.backend_state.models;
         if !models.is_empty() {
             known.set_peer_statistics(reporter, heartbeat_wire::decode_models(models));
         }
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -26,7 +26,7 @@
     pub async fn broadcast_evidence(self: Arc<Self>) {
         let quarantine = self.gateway.forwarder.quarantine.clone();
         loop {
-            let unsent = quarantine.next_untold().await;
+            let unsent = quarantine.next_unpublished().await;
             let message = self.envelope(Body::QuarantineNews(encode(&unsent)));
             let mut recipients = self.targets(std::iter::empty());
             recipients.extend(self.members.load().relays_elsewhere.iter().copied());
@@ -63,7 +63,7 @@
 
     /// Merges evidence from a peer; a relay forwards evidence from other zones.
     pub(super) fn handle_quarantine_update(&self, envelope: &Envelope, update: &QuarantineNews) {
-        let new = self.gateway.forwarder.quarantine.hear(decode(update));
+        let new = self.gateway.forwarder.quarantine.merge_evidence(decode(update));
         if new.is_empty() || !self.is_large_deployment() || envelope.zone == self.zone.as_str() {
             return;
         }
--- a/crates/beamwall-node/src/gateway/readiness.rs
+++ b/crates/beamwall-node/src/gateway/readiness.rs
@@ -38,7 +38,7 @@
 
     /// Whether the node accepts callers. State received from peers is sufficient only if the store failed.
     pub fn is_ready(&self) -> bool {
-        let knows = self.policy.load().version() > 0 && self.directory.load().is_whole();
+        let knows = self.policy.load().version() > 0 && self.directory.load().is_fully_loaded();
         knows && self.status.has_settled(&[POLICY, BACKENDS]) && !self.is_draining()
     }
 
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -40,7 +40,7 @@
     /// Passes the zones whose nodes are all silent to the choice of back ends.
     pub(super) fn note_silent_zones(&self) {
         let silent = if self.is_large_deployment() { self.zones.silent() } else { self.silent_zones() };
-        let knowledge = &self.gateway.forwarder.knowledge;
+        let knowledge = &self.gateway.forwarder.backend_state;
         for zone in knowledge.note_silent_zones(&silent, &self.directory.load()) {
             emit(&ZoneCutOff { zone: zone.to_string() });
         }
--- a/crates/beamwall-node/src/gateway/stored_quarantine.rs
+++ b/crates/beamwall-node/src/gateway/stored_quarantine.rs
@@ -96,7 +96,7 @@
 
 #[async_trait]
 impl TrialPort for StoredQuarantine {
-    async fn take(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool {
+    async fn claim_trial(&self, request: &Fingerprint, number: u32, now_ms: u64) -> bool {
         let grant = |requests: &mut StoredRequests| match requests.get_mut(&request.to_hex()) {
             // A trial number is granted only once, however often it is requested.
             Some(known) if known.trials < number => known.note_trial(number, now_ms),
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -18,7 +18,9 @@
 use beamwall_events::emit;
 use beamwall_events::internal_events::{DirectoryDoubted, DirectoryReviewed, WatchMissedChange};
 use beamwall_gateway::ports::{DirectorySnapshot, PolicyAnswer};
-use beamwall_gateway::{ControlStore, ControlStoreError, Correction, Doubt, Gateway, ListDoubts};
+use beamwall_gateway::{
+    ControlStore, ControlStoreError, Gateway, Reconciliation, StalenessEvidence, StalenessTracker,
+};
 use beamwall_policy::TrafficPolicy;
 use kameo::actor::ActorRef;
 use rand::RngExt;
@@ -244,7 +246,7 @@
         // This read may be older than the list held here, so a difference proves nothing: the newest list is
         // read before anything is applied.
         if read != self.reader.current.load().digest() {
-            self.doubts().note_store_differs();
+            self.doubts().note_store_disagrees();
         }
         Ok(None)
     }
@@ -272,15 +274,15 @@
 }
 
 impl WatchedBackends {
-    fn doubts(&self) -> &ListDoubts {
-        &self.gateway.forwarder.knowledge.doubts
+    fn doubts(&self) -> &StalenessTracker {
+        &self.gateway.forwarder.backend_state.staleness
     }
 
     fn is_watcher(&self) -> bool {
         self.reader.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE)
     }
 
-    fn doubt(&self) -> Option<Doubt> {
+    fn doubt(&self) -> Option<StalenessEvidence> {
         self.doubts().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
     }
 
@@ -302,26 +304,26 @@
         let revision = read.revision;
         let correction = self.apply_list(read).await;
         if purpose == ReadPurpose::Reread {
-            self.doubts().note_read(correction == Correction::Changed, Instant::now());
+            self.doubts().note_reload(correction == Reconciliation::Changed, Instant::now());
             let outcome = format!("{correction:?}");
             emit(&DirectoryReviewed { outcome, held: held.to_string(), read: revision.to_string() });
         }
         Ok(revision)
     }
 
-    async fn apply_list(&self, snapshot: DirectorySnapshot) -> Correction {
+    async fn apply_list(&self, snapshot: DirectorySnapshot) -> Reconciliation {
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
         // The actor stops only together with the node.
         let taken = self.directory_updates.ask(reading).await;
-        taken.map_or(Correction::Outdated, |ReadingTaken(correction)| correction)
+        taken.map_or(Reconciliation::Outdated, |ReadingTaken(correction)| correction)
     }
 }
 
-fn describe(doubt: &Doubt) -> String {
+fn describe(doubt: &StalenessEvidence) -> String {
     match doubt {
-        Doubt::Unreached(backend) => format!("unreached: {backend}"),
-        Doubt::PeersDiffer(peers) => format!("peers: {peers}"),
-        Doubt::StoreDiffers => "store".to_owned(),
+        StalenessEvidence::Unreachable(backend) => format!("unreached: {backend}"),
+        StalenessEvidence::PeersDisagree(peers) => format!("peers: {peers}"),
+        StalenessEvidence::StoreDisagrees => "store".to_owned(),
     }
 }
 
--- a/crates/beamwall-node/src/gateway/zones.rs
+++ b/crates/beamwall-node/src/gateway/zones.rs
@@ -148,7 +148,7 @@
 
     fn zone_summary(&self) -> ZoneSummary {
         let forwarder = &self.gateway.forwarder;
-        let loads = forwarder.knowledge.loads.sum_of_nodes();
+        let loads = forwarder.backend_state.loads.sum_of_nodes();
         let (models, slowness) = self.observations_of_zone();
         ZoneSummary {
             zone: self.zone.to_string(),
@@ -178,7 +178,7 @@
         }
         let forwarder = &self.gateway.forwarder;
         let reporter = Reporter::Zone(zone.clone());
-        forwarder.knowledge.loads.set_peer(&reporter, heartbeat_wire::decode_loads(summary.loads));
+        forwarder.backend_state.loads.set_peer(&reporter, heartbeat_wire::decode_loads(summary.loads));
         forwarder.demand.set_peer(&reporter, heartbeat_wire::decode_demands(&summary.demands));
         self.apply_observations(&reporter, &summary.models, &summary.slowness);
         forwarder.usage.merge_zone(&zone, heartbeat_wire::decode_usage(summary.usage));
@@ -235,15 +235,15 @@
         }
         for member in self.members.load().members.iter().filter(|member| member.zone != self.zone) {
             self.forget_reporter(&Reporter::Node(member.node.clone()));
-            self.gateway.forwarder.usage.forget_node(&member.node);
+            self.gateway.forwarder.usage.remove_node_counts(&member.node);
             self.rollouts().remove_node_evidence(&member.node);
         }
     }
 
     /// Drops the open work, demand and observations of a reporter.
     pub(super) fn forget_reporter(&self, reporter: &Reporter) {
-        self.gateway.forwarder.knowledge.loads.forget_peer(reporter);
-        self.gateway.forwarder.demand.forget_peer(reporter);
-        self.gateway.forwarder.knowledge.models.remove_peer(reporter);
+        self.gateway.forwarder.backend_state.loads.remove_peer(reporter);
+        self.gateway.forwarder.demand.remove_peer(reporter);
+        self.gateway.forwarder.backend_state.models.remove_peer(reporter);
     }
 }
