--- a/crates/beamwall-gateway/src/stream/mod.rs
+++ b/crates/beamwall-gateway/src/stream/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_http::Body;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -91,7 +91,7 @@
     attempts: &mut Attempts,
 ) -> Result<AttemptStart, FailedAttempt> {
     let first_event_wait = FirstEventWait::new(forwarder, call, choice, attempts);
-    let sent_at = running::now();
+    let sent_at = process_clock::now();
     let limit = call.remaining();
     let sent = attempts.sent + 1;
     let mut next_back_end = std::pin::pin!(async {
@@ -129,7 +129,7 @@
         forwarder.record_response(call, &choice.backend, true);
         return Err(failure.after_start().into());
     }
-    forwarder.backend_state.health.note_activity(&choice.backend, running::now());
+    forwarder.backend_state.health.note_activity(&choice.backend, process_clock::now());
     source.work.start_response();
     record_time_to_first_event(forwarder, call, choice, sent_at);
     forwarder.record_usage(call);
@@ -145,7 +145,7 @@
 /// stream, count as well.
 fn record_time_to_first_event(forwarder: &Forwarder, call: &Call, choice: &Choice, sent_at: Instant) {
     let of = choice.first_event();
-    let took_ms = running::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
+    let took_ms = process_clock::now().duration_since(sent_at).as_secs_f64() * 1_000.0;
     let models = &forwarder.backend_state.models;
     models.record_first_event(&call.service, &choice.backend, of, took_ms, Instant::now());
     forwarder.record_response(call, &choice.backend, choice.is_slow(took_ms));
--- a/crates/beamwall-gateway/tests/suspension.rs
+++ b/crates/beamwall-gateway/tests/suspension.rs
@@ -16,7 +16,7 @@
     for peer in ["n1", "n2"] {
         clock.record_peer_time(&peer.into(), SystemTime::now(), now());
     }
-    simulation::suspend_for(SUSPENDED_FOR);
+    simulation::simulate_suspension(SUSPENDED_FOR);
     // The simulation also stops the local wall clock, which is outvoted by two peers.
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
     assert!(ahead > SUSPENDED_FOR - Duration::from_millis(100), "{ahead:?}");
@@ -28,7 +28,7 @@
     for peer in ["n1", "n2"] {
         clock.record_peer_time(&peer.into(), SystemTime::now() + Duration::from_secs(60), now());
     }
-    simulation::suspend_for(Duration::from_secs(10));
+    simulation::simulate_suspension(Duration::from_secs(10));
     let ahead = clock.now().duration_since(SystemTime::now()).unwrap_or_default();
     assert!(ahead < Duration::from_millis(100), "{ahead:?}");
 }
@@ -43,7 +43,7 @@
     let mut time_is_up = std::pin::pin!(call.deadline_elapsed());
     let before_suspension = tokio::time::timeout(Duration::from_millis(100), &mut time_is_up).await;
     assert!(before_suspension.is_err(), "{:?} remaining", call.remaining());
-    simulation::suspend_for(SUSPENDED_FOR);
+    simulation::simulate_suspension(SUSPENDED_FOR);
     assert_eq!(call.remaining(), Duration::ZERO);
     tokio::time::timeout(SUSPENDED_FOR * 3 / 4, time_is_up).await.expect("the request times out");
 }
--- a/crates/beamwall-node/src/gateway/exchange.rs
+++ b/crates/beamwall-node/src/gateway/exchange.rs
@@ -16,7 +16,7 @@
 use beamwall_gateway::usage::WindowCounts;
 use beamwall_gateway::{Directory, Gateway, Reporter};
 use beamwall_model::{NodeId, ServiceName, TenantName, ZoneName, since_1970_ms};
-use beamwall_peer::gateway_message::{GatewayBeat, PlacementRequest, UsageWindow, VersionNews};
+use beamwall_peer::gateway_message::{GatewayHeartbeat, PlacementRequest, UsageWindow, VersionUpdate};
 use beamwall_peer::message::{MemberUpdate, ProbeRequest};
 use beamwall_peer::{Body, Envelope, Member, MemberState, MembershipTiming, PeerNetwork, TransferPacer};
 use kameo::actor::ActorRef;
@@ -172,7 +172,7 @@
         // A new policy may add tenants whose quotas must be divided from now on.
         self.share_limits();
         let directory = self.directory.load();
-        let announcement = self.envelope(Body::VersionNews(VersionNews {
+        let announcement = self.envelope(Body::VersionNews(VersionUpdate {
             policy_version: self.gateway.policy.load().version(),
             directory_revision: directory.revision(),
             directory_digest: directory.digest(),
@@ -215,8 +215,9 @@
         let (models, slowness) = self.own_observations();
         let base = self.heartbeat_without_quotas(tick.updates);
         let usage = if self.is_large_deployment() { self.usage_delta() } else { base.usage };
-        let heartbeat = GatewayBeat { quota_uses, demands, models, slowness, usage, ..base };
-        let probe = self.envelope(Body::GatewayBeat(GatewayBeat { wants_answer: true, ..heartbeat.clone() }));
+        let heartbeat = GatewayHeartbeat { quota_uses, demands, models, slowness, usage, ..base };
+        let probe =
+            self.envelope(Body::GatewayBeat(GatewayHeartbeat { wants_answer: true, ..heartbeat.clone() }));
         let plain = self.envelope(Body::GatewayBeat(heartbeat));
         let probed: HashSet<SocketAddr> =
             tick.targets.iter().filter(|target| target.wants_answer).map(|target| target.address).collect();
@@ -279,10 +280,10 @@
     }
 
     /// A heartbeat for a single peer. It has no quota usage, which must be sent to all peers together.
-    fn heartbeat_without_quotas(&self, members: Vec<MemberUpdate>) -> GatewayBeat {
+    fn heartbeat_without_quotas(&self, members: Vec<MemberUpdate>) -> GatewayHeartbeat {
         let directory = self.directory.load();
         let forwarder = &self.gateway.forwarder;
-        GatewayBeat {
+        GatewayHeartbeat {
             members,
             wants_answer: false,
             policy_version: self.gateway.policy.load().version(),
@@ -360,7 +361,7 @@
         if let Ok(Introduction(members)) = self.membership.ask(receipt).await
             && !members.is_empty()
         {
-            let introduction = GatewayBeat { members, ..self.heartbeat_without_quotas(Vec::new()) };
+            let introduction = GatewayHeartbeat { members, ..self.heartbeat_without_quotas(Vec::new()) };
             self.reply(&envelope, Body::GatewayBeat(introduction));
         }
         match body {
@@ -398,18 +399,19 @@
 
     fn probe_on_behalf(&self, probe: &ProbeRequest) {
         if let Ok(address) = probe.address.parse() {
-            let heartbeat = GatewayBeat { wants_answer: true, ..self.heartbeat_without_quotas(Vec::new()) };
+            let heartbeat =
+                GatewayHeartbeat { wants_answer: true, ..self.heartbeat_without_quotas(Vec::new()) };
             self.network.send(address, &self.envelope(Body::GatewayBeat(heartbeat)));
         }
     }
 
-    fn handle_versions(self: &Arc<Self>, envelope: &Envelope, versions: VersionNews) {
+    fn handle_versions(self: &Arc<Self>, envelope: &Envelope, versions: VersionUpdate) {
         let Ok(address) = envelope.address.parse() else { return };
         self.note_policy_version(address, versions.policy_version);
         self.note_directory_revision(address, versions.directory_revision, versions.directory_digest);
     }
 
-    fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, incoming_heartbeat: GatewayBeat) {
+    fn handle_heartbeat(self: &Arc<Self>, envelope: &Envelope, incoming_heartbeat: GatewayHeartbeat) {
         if incoming_heartbeat.time_ms > 0 {
             let sender_time = UNIX_EPOCH + Duration::from_millis(incoming_heartbeat.time_ms);
             self.gateway.forwarder.clock.record_peer_time(
@@ -421,7 +423,7 @@
         if incoming_heartbeat.wants_answer {
             self.reply(envelope, Body::GatewayBeat(self.heartbeat_without_quotas(Vec::new())));
         }
-        let versions = VersionNews {
+        let versions = VersionUpdate {
             policy_version: incoming_heartbeat.policy_version,
             directory_revision: incoming_heartbeat.directory_revision,
             directory_digest: incoming_heartbeat.directory_digest,
@@ -459,7 +461,7 @@
     }
 
     /// Applies a node's report of its own work.
-    fn apply_node_report(&self, sender: &str, heartbeat: GatewayBeat) {
+    fn apply_node_report(&self, sender: &str, heartbeat: GatewayHeartbeat) {
         let node = NodeId::new(sender);
         if let Some(update) = &heartbeat.rollouts {
             self.apply_node_rollouts(&node, heartbeat.life, update);
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beamwall_model::NodeId;
-use beamwall_peer::gateway_message::{LifeUsage, UsageKnown, UsageRequest};
+use beamwall_peer::gateway_message::{GenerationUsage, UsageAnswer, UsageRequest};
 use beamwall_peer::{Body, Envelope, MemberState};
 
 use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, REPORTED_WINDOWS};
@@ -26,14 +26,14 @@
         }
     }
 
-    fn recorded_usage(&self) -> UsageKnown {
-        let encode_generation = |(node, generation, usage): (NodeId, u64, Vec<_>)| LifeUsage {
+    fn recorded_usage(&self) -> UsageAnswer {
+        let encode_generation = |(node, generation, usage): (NodeId, u64, Vec<_>)| GenerationUsage {
             node: node.to_string(),
             life: generation,
             usage: heartbeat_wire::encode_usage(usage),
         };
         let generations = self.gateway.forwarder.usage.generations(REPORTED_WINDOWS);
-        UsageKnown { lives: generations.into_iter().map(encode_generation).collect() }
+        UsageAnswer { lives: generations.into_iter().map(encode_generation).collect() }
     }
 
     /// Requests the recorded usage from the longest-running member, until one answers.
@@ -61,7 +61,7 @@
         direct.min_by_key(|member| member.incarnation).map(|member| member.address)
     }
 
-    fn merge_recovered_usage(&self, known: UsageKnown) {
+    fn merge_recovered_usage(&self, known: UsageAnswer) {
         let usage = &self.gateway.forwarder.usage;
         // Entries of other generations include this node's own usage before its restart.
         for entry in known.lives.into_iter().filter(|entry| entry.life != self.generation) {
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -61,7 +61,7 @@
 use beamwall_http::{Pool, serve};
 use beamwall_model::since_1970_ms;
 use beamwall_peer::{Membership, MembershipTiming, PeerNetwork, TransferPacer};
-use beamwall_policy::PolicyArchive;
+use beamwall_policy::PolicyHistory;
 use beamwall_quarantine::QuarantineRegistry;
 use beamwall_rollout::RolloutRegistry;
 use beamwall_store::VersionedObjects;
@@ -369,12 +369,12 @@
         generation,
         MembershipTiming::default(),
     )
-    .on_link(settings.link_mbps)
-    .broadcasting();
+    .with_link(settings.link_mbps)
+    .with_broadcast();
     let directory = gateway.forwarder.directory.clone();
     let versions_changed: Arc<Notify> = Arc::default();
     let transfers = Arc::new(TransferPacer::new(settings.link_mbps));
-    let archive: Arc<PolicyArchive> = Arc::default();
+    let archive: Arc<PolicyHistory> = Arc::default();
     PeerExchange {
         node: settings.node.clone(),
         zone: settings.zone.clone(),
--- a/crates/beamwall-node/src/gateway/policy_sync.rs
+++ b/crates/beamwall-node/src/gateway/policy_sync.rs
@@ -13,7 +13,7 @@
 use beamwall_events::internal_events::{PolicyBehind, PolicyChangeUnusable};
 use beamwall_peer::gateway_message::{PolicyAnswer, PolicyRequest};
 use beamwall_peer::{Body, TransferPacer, compressed};
-use beamwall_policy::{PolicyArchive, PolicyChange};
+use beamwall_policy::{PolicyChange, PolicyHistory};
 use tokio::time::Instant;
 
 use crate::actors::policy::ApplyPolicyChange;
@@ -39,7 +39,7 @@
 /// Policy versions sent to peers and reported by them.
 #[derive(Debug)]
 pub struct PolicyDistribution {
-    archive: Arc<PolicyArchive>,
+    archive: Arc<PolicyHistory>,
     transfers: Arc<TransferPacer>,
     peer_versions: PeerVersions,
     encoded: Mutex<Vec<EncodedChange>>,
@@ -47,7 +47,7 @@
 
 impl PolicyDistribution {
     /// Sends versions of `archive`, paced by `transfers`.
-    pub fn new(archive: Arc<PolicyArchive>, transfers: Arc<TransferPacer>) -> Self {
+    pub fn new(archive: Arc<PolicyHistory>, transfers: Arc<TransferPacer>) -> Self {
         Self { archive, transfers, peer_versions: PeerVersions::default(), encoded: Mutex::default() }
     }
 
--- a/crates/beamwall-node/src/gateway/quarantine_sync.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_sync.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beamwall_peer::quarantine_message::{QuarantineNews, QuarantineRequest};
+use beamwall_peer::quarantine_message::{QuarantineRequest, QuarantineUpdate};
 use beamwall_peer::{Body, Envelope};
 use prost::Message;
 use tokio::time::Instant;
@@ -62,7 +62,7 @@
     }
 
     /// Merges evidence from a peer; a relay forwards evidence from other zones.
-    pub(super) fn handle_quarantine_update(&self, envelope: &Envelope, update: &QuarantineNews) {
+    pub(super) fn handle_quarantine_update(&self, envelope: &Envelope, update: &QuarantineUpdate) {
         let new = self.gateway.forwarder.quarantine.merge_evidence(decode(update));
         if new.is_empty() || !self.is_large_deployment() || envelope.zone == self.zone.as_str() {
             return;
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -1,27 +1,29 @@
 //! Conversion of evidence against requests to and from messages.
 
 use beamwall_model::BackendId;
-use beamwall_peer::quarantine_message::{QuarantineNews, ToldCompletion, ToldEnding, ToldTrial};
+use beamwall_peer::quarantine_message::{
+    CompletionMessage, QuarantineUpdate, TerminationMessage, TrialMessage,
+};
 use beamwall_quarantine::fingerprint::FINGERPRINT_BYTES;
 use beamwall_quarantine::{Completion, Evidence, Fingerprint, Termination, Trial};
 
 /// Encodes evidence.
-pub fn encode(evidence: &Evidence) -> QuarantineNews {
-    let termination = |termination: &Termination| ToldEnding {
+pub fn encode(evidence: &Evidence) -> QuarantineUpdate {
+    let termination = |termination: &Termination| TerminationMessage {
         backend: termination.backend.to_string(),
         at_ms: termination.at_ms,
         open: termination.open.iter().flat_map(|request| *request.as_bytes()).collect(),
     };
-    let completion = |completion: &Completion| ToldCompletion {
+    let completion = |completion: &Completion| CompletionMessage {
         request: completion.request.as_bytes().to_vec(),
         at_ms: completion.at_ms,
     };
-    let trial = |trial: &Trial| ToldTrial {
+    let trial = |trial: &Trial| TrialMessage {
         request: trial.request.as_bytes().to_vec(),
         number: trial.number,
         at_ms: trial.at_ms,
     };
-    QuarantineNews {
+    QuarantineUpdate {
         endings: evidence.endings.iter().map(termination).collect(),
         completions: evidence.completions.iter().map(completion).collect(),
         trials: evidence.trials.iter().map(trial).collect(),
@@ -29,16 +31,16 @@
 }
 
 /// Decodes evidence; entries without a valid fingerprint are skipped.
-pub fn decode(update: &QuarantineNews) -> Evidence {
-    let termination = |wire_entry: &ToldEnding| Termination {
+pub fn decode(update: &QuarantineUpdate) -> Evidence {
+    let termination = |wire_entry: &TerminationMessage| Termination {
         backend: BackendId::new(&wire_entry.backend),
         at_ms: wire_entry.at_ms,
         open: wire_entry.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
     };
-    let completion = |wire_entry: &ToldCompletion| {
+    let completion = |wire_entry: &CompletionMessage| {
         Some(Completion { request: fingerprint(&wire_entry.request)?, at_ms: wire_entry.at_ms })
     };
-    let trial = |wire_entry: &ToldTrial| {
+    let trial = |wire_entry: &TrialMessage| {
         Some(Trial {
             request: fingerprint(&wire_entry.request)?,
             number: wire_entry.number,
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -10,7 +10,7 @@
 use beamwall_gateway::ControlStoreError;
 use beamwall_gateway::ports::{ListedOrder, ListedOrders, RolloutStore};
 use beamwall_model::{NodeId, ServiceName, ZoneName};
-use beamwall_peer::rollout_message::RolloutNews;
+use beamwall_peer::rollout_message::RolloutUpdate;
 use beamwall_rollout::{OrderUpdate, RolloutRegistry};
 
 use crate::gateway::exchange::PeerExchange;
@@ -115,31 +115,31 @@
     }
 
     /// Orders, stages and the evidence counted by this node.
-    pub(super) fn node_rollout_update(&self) -> Option<RolloutNews> {
+    pub(super) fn node_rollout_update(&self) -> Option<RolloutUpdate> {
         let (registry, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(registry.orders(now), registry.stages(now), registry.own_evidence())
     }
 
     /// Orders, stages and the evidence counted by all nodes of this zone, for other zones.
-    pub(super) fn zone_rollout_update(&self) -> Option<RolloutNews> {
+    pub(super) fn zone_rollout_update(&self) -> Option<RolloutUpdate> {
         let (registry, now) = (self.rollouts(), beamwall_clock::now());
         rollout_wire::encode(registry.orders(now), registry.stages(now), registry.evidence_of_nodes())
     }
 
     /// Applies the rollouts and the evidence reported by a node.
-    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, update: &RolloutNews) {
+    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, update: &RolloutUpdate) {
         self.apply_rollout_update(update);
         self.rollouts().merge_node_evidence(node, generation, &rollout_wire::decode_evidence(update));
     }
 
     /// Applies the rollouts reported by a relay and the evidence of its zone.
-    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, update: &RolloutNews) {
+    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, update: &RolloutUpdate) {
         self.apply_rollout_update(update);
         self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(update));
     }
 
     /// Applies orders and stages; a changed order triggers a heartbeat at once.
-    fn apply_rollout_update(&self, update: &RolloutNews) {
+    fn apply_rollout_update(&self, update: &RolloutUpdate) {
         let registry = self.rollouts();
         let mut has_changed = false;
         for order in rollout_wire::decode_orders(update) {
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -93,7 +93,7 @@
 }
 
 fn is_reachable(member: &Member, within: Duration, now: Instant) -> bool {
-    member.heard.is_some_and(|heard| now.duration_since(heard) < within)
+    member.last_received.is_some_and(|heard| now.duration_since(heard) < within)
 }
 
 /// Whether a member may still be serving callers.
--- a/crates/beamwall-node/src/gateway/stall_monitor.rs
+++ b/crates/beamwall-node/src/gateway/stall_monitor.rs
@@ -2,11 +2,11 @@
 //! blocked it.
 //!
 //! Timeouts that this process holds against peers and back ends exclude that time on their own
-//! (`beamwall_clock::running`). This module records and logs it.
+//! (`beamwall_clock::process_clock`). This module records and logs it.
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_events::emit;
 use beamwall_events::internal_events::ProcessStoodStill;
 use prometheus::{Histogram, HistogramOpts, Registry};
@@ -35,7 +35,7 @@
 
     /// Watches this process for stalls and its machine for suspensions until the task is aborted.
     pub async fn watch(self, mut suspensions: SuspensionMonitor) {
-        running::watch(move |late| {
+        process_clock::monitor(move |late| {
             self.note(late);
             suspensions.detect_suspension();
         })
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension.rs
@@ -23,12 +23,12 @@
 impl SuspensionMonitor {
     /// Ignores suspensions up to now; `heartbeat_trigger` is notified after each later one.
     pub fn new(heartbeat_trigger: Arc<Notify>) -> Self {
-        Self { asleep_before: beamwall_clock::asleep(), heartbeat_trigger }
+        Self { asleep_before: beamwall_clock::suspended_time(), heartbeat_trigger }
     }
 
     /// Checks whether the machine was suspended since the last check.
     pub fn detect_suspension(&mut self) {
-        let asleep = beamwall_clock::asleep();
+        let asleep = beamwall_clock::suspended_time();
         let length = asleep.saturating_sub(self.asleep_before);
         self.asleep_before = asleep;
         if length >= MIN_SUSPENSION {
--- a/crates/beamwall-routing/src/tenant_limit.rs
+++ b/crates/beamwall-routing/src/tenant_limit.rs
@@ -1,9 +1,9 @@
-//! Tenant limits that hold over all nodes.
+//! Tenant limits that apply to the sum over all nodes.
 //!
-//! Each node has a share of a tenant's limit, in proportion to the demand that it reported. A node
-//! lowers its share at once and raises it only after the others have had time to lower theirs, so
-//! that the sum stays within the limit while nodes are connected. In a cut, each side keeps the
-//! last share.
+//! Each node enforces a share of a tenant's limit, in proportion to the demand that it reported. A node
+//! lowers its share at once, but raises it only after the other nodes have had time to lower theirs, so
+//! that the sum of the shares stays within the limit while the nodes are connected. During a network
+//! partition each side keeps the last shares.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,81 +14,86 @@
 use quick_error::quick_error;
 use tokio::time::Instant;
 
-/// Work that may be done at once after a quiet time, in seconds of the share.
+/// Size of a full bucket: the work that may be admitted at once after an idle period, in seconds of the
+/// node's rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Time after which a larger share is taken: longer than a heartbeat takes to reach everyone.
+/// Delay before a node uses a larger share: longer than a heartbeat takes to reach all nodes, which lower
+/// their shares when they receive it.
 const RAISE_DELAY: Duration = Duration::from_millis(1_500);
-/// Demand that every node is counted with, so that an idle one can start, as a part of the limit.
-const IDLE_DEMAND_PART: f64 = 0.02;
-/// Weight of the newest second in the demand.
+/// Demand added to that of every node, as a fraction of the limit, so that an idle node has a share to start
+/// with.
+const IDLE_DEMAND_FRACTION: f64 = 0.02;
+/// Weight of the newest reporting period in the smoothed demand.
 const DEMAND_SMOOTHING: f64 = 0.5;
 
 quick_error! {
-    /// The tenant is over its limit.
+    /// The tenant exceeded a limit.
     #[derive(Debug, Clone, PartialEq)]
     pub enum LimitExceeded {
-        /// Over a rate; `retry_after` tells when the work would fit.
+        /// A rate limit; after `retry_after` the work would be admitted.
         Rate(retry_after: Duration) {
             display("tenant rate limit exceeded")
         }
-        /// Too many open requests.
+        /// The limit of open requests.
         Concurrency(limit: usize) {
             display("tenant has {} open requests", limit)
         }
     }
 }
 
-/// The two kinds of limited work.
+/// Work that is charged to a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// Tokens of prompt and answer.
+    /// Tokens of prompt and response.
     Tokens(u32),
-    /// One plain call.
+    /// One call to a plain service.
     Call,
 }
 
+/// Token bucket of one limit, refilled at this node's share of the rate.
 #[derive(Debug)]
-struct Meter {
+struct RateBucket {
     limit: f64,
     share: f64,
-    raise_to: Option<(f64, Instant)>,
+    pending_raise: Option<(f64, Instant)>,
     available: f64,
     refilled: Instant,
-    asked: f64,
+    requested: f64,
     demand: f64,
 }
 
-impl Meter {
+impl RateBucket {
     fn new(limit: f64, share: f64, now: Instant) -> Self {
         Self {
             limit,
             share,
-            raise_to: None,
+            pending_raise: None,
             available: limit * share,
             refilled: now,
-            asked: 0.0,
+            requested: 0.0,
             demand: 0.0,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        if let Some((share, at)) = self.raise_to
+        if let Some((share, at)) = self.pending_raise
             && now >= at
         {
             self.share = share;
-            self.raise_to = None;
+            self.pending_raise = None;
         }
         let rate = self.limit * self.share;
-        let gained = now.duration_since(self.refilled).as_secs_f64() * rate;
+        let refilled_amount = now.duration_since(self.refilled).as_secs_f64() * rate;
         self.refilled = now;
-        self.available = (self.available + gained).min(rate * BURST_SECONDS);
+        self.available = (self.available + refilled_amount).min(rate * BURST_SECONDS);
     }
 
-    fn take(&mut self, amount: f64, now: Instant) -> Result<(), LimitExceeded> {
-        self.asked += amount;
+    fn consume(&mut self, amount: f64, now: Instant) -> Result<(), LimitExceeded> {
+        self.requested += amount;
         self.refill(now);
         let rate = (self.limit * self.share).max(f64::MIN_POSITIVE);
-        // Work larger than a whole burst could never pass; it passes when the bucket is full.
+        // Work larger than a full bucket would never be admitted; it is admitted when the bucket is full and
+        // leaves the bucket negative.
         let needed = amount.min(rate * BURST_SECONDS);
         if self.available + 1e-9 >= needed {
             self.available -= amount;
@@ -101,16 +106,16 @@
     fn set_share(&mut self, share: f64, now: Instant) {
         if share <= self.share {
             self.share = share;
-            self.raise_to = None;
+            self.pending_raise = None;
         } else {
-            let at = self.raise_to.map_or(now + RAISE_DELAY, |(_, at)| at);
-            self.raise_to = Some((share, at));
+            let at = self.pending_raise.map_or(now + RAISE_DELAY, |(_, at)| at);
+            self.pending_raise = Some((share, at));
         }
     }
 
     fn close_period(&mut self, period: Duration) -> f64 {
-        let rate = self.asked / period.as_secs_f64().max(1e-3);
-        self.asked = 0.0;
+        let rate = self.requested / period.as_secs_f64().max(1e-3);
+        self.requested = 0.0;
         self.demand = self.demand * (1.0 - DEMAND_SMOOTHING) + rate * DEMAND_SMOOTHING;
         self.demand
     }
@@ -118,17 +123,17 @@
 
 #[derive(Debug)]
 struct Account {
-    tokens: Meter,
-    calls: Meter,
+    tokens: RateBucket,
+    calls: RateBucket,
     open: usize,
 }
 
-/// Demand of one tenant at one node, a second.
+/// Demand of one tenant at one node, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// Tokens asked for.
+    /// Tokens requested, whether admitted or not.
     pub tokens: f64,
-    /// Plain calls asked for.
+    /// Plain calls requested, whether admitted or not.
     pub calls: f64,
 }
 
@@ -140,15 +145,15 @@
 }
 
 impl State {
-    /// Demands of all other nodes; those that reported none count as idle.
-    fn others(&self, tenant: &TenantName) -> Vec<Demand> {
+    /// Demands of all other nodes; a node that reported none counts as idle.
+    fn peer_demands(&self, tenant: &TenantName) -> Vec<Demand> {
         let mut others = self.peers.get(tenant).cloned().unwrap_or_default();
         others.resize(self.peer_count.max(others.len()), Demand::default());
         others
     }
 }
 
-/// The accounts of all tenants at this node.
+/// Rate and concurrency limits of all tenants at this node.
 #[derive(Debug, Default)]
 pub struct TenantLimits {
     state: Mutex<State>,
@@ -159,13 +164,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes work from a tenant's account and opens a request. A tenant seen for the first time
-    /// gets the share of an idle node, which the others already leave to this one.
+    /// Charges work to a tenant's limits and opens a request. For a tenant that is new to this node the
+    /// share is that of an idle node, which the shares of the other nodes already leave free.
     pub fn open(&self, tenant: &Tenant, work: Work) -> Result<(), LimitExceeded> {
         let now = Instant::now();
         let mut state = self.lock();
         if !state.accounts.contains_key(&tenant.name) {
-            let account = new_account(tenant, &state.others(&tenant.name), now);
+            let account = new_account(tenant, &state.peer_demands(&tenant.name), now);
             state.accounts.insert(tenant.name.clone(), account);
         }
         let Some(account) = state.accounts.get_mut(&tenant.name) else { return Ok(()) };
@@ -175,21 +180,21 @@
             return Err(LimitExceeded::Concurrency(tenant.max_concurrent));
         }
         match work {
-            Work::Tokens(tokens) => account.tokens.take(tokens.into(), now)?,
-            Work::Call => account.calls.take(1.0, now)?,
+            Work::Tokens(tokens) => account.tokens.consume(tokens.into(), now)?,
+            Work::Call => account.calls.consume(1.0, now)?,
         }
         account.open += 1;
         Ok(())
     }
 
-    /// Closes a request.
+    /// Closes a request of a tenant.
     pub fn close(&self, tenant: &TenantName) {
         if let Some(account) = self.lock().accounts.get_mut(tenant) {
             account.open = account.open.saturating_sub(1);
         }
     }
 
-    /// Ends a reporting period and gives this node's demands.
+    /// Ends a reporting period and returns the smoothed demand of each tenant at this node.
     pub fn close_period(&self, period: Duration) -> Vec<(TenantName, Demand)> {
         let mut state = self.lock();
         let demand = |account: &mut Account| Demand {
@@ -199,8 +204,8 @@
         state.accounts.iter_mut().map(|(tenant, account)| (tenant.clone(), demand(account))).collect()
     }
 
-    /// Sets shares from the demands that all nodes reported. `own` must be what this node last
-    /// reported, so that every node computes from the same numbers.
+    /// Computes this node's shares from the demands that all nodes reported. `own` must be the demand that
+    /// this node last reported, so that every node computes with the same numbers.
     pub fn set_shares(
         &self,
         own: &HashMap<TenantName, Demand>,
@@ -213,16 +218,17 @@
         state.peer_count = peer_count;
         let tenants: Vec<TenantName> = state.accounts.keys().cloned().collect();
         for tenant in tenants {
-            let others = state.others(&tenant);
+            let others = state.peer_demands(&tenant);
             let own = own.get(&tenant).copied().unwrap_or_default();
             let Some(account) = state.accounts.get_mut(&tenant) else { continue };
-            let (tokens, calls) = both_shares(own, &others, account.tokens.limit, account.calls.limit);
+            let (tokens, calls) =
+                token_and_call_shares(own, &others, account.tokens.limit, account.calls.limit);
             account.tokens.set_share(tokens, now);
             account.calls.set_share(calls, now);
         }
     }
 
-    /// This node's shares of a tenant's token and call limits.
+    /// This node's shares of a tenant's token and call limits, from 0 to 1.
     pub fn shares(&self, tenant: &TenantName) -> Option<(f64, f64)> {
         self.lock().accounts.get(tenant).map(|account| (account.tokens.share, account.calls.share))
     }
@@ -231,23 +237,23 @@
 fn new_account(tenant: &Tenant, others: &[Demand], now: Instant) -> Account {
     let token_limit = tenant.tokens_per_second as f64;
     let call_limit = tenant.calls_per_second as f64;
-    let (tokens, calls) = both_shares(Demand::default(), others, token_limit, call_limit);
+    let (tokens, calls) = token_and_call_shares(Demand::default(), others, token_limit, call_limit);
     Account {
-        tokens: Meter::new(token_limit, tokens, now),
-        calls: Meter::new(call_limit, calls, now),
+        tokens: RateBucket::new(token_limit, tokens, now),
+        calls: RateBucket::new(call_limit, calls, now),
         open: 0,
     }
 }
 
-fn both_shares(own: Demand, others: &[Demand], token_limit: f64, call_limit: f64) -> (f64, f64) {
+fn token_and_call_shares(own: Demand, others: &[Demand], token_limit: f64, call_limit: f64) -> (f64, f64) {
     let token_demands: Vec<f64> = others.iter().map(|demand| demand.tokens).collect();
     let call_demands: Vec<f64> = others.iter().map(|demand| demand.calls).collect();
     (share(own.tokens, &token_demands, token_limit), share(own.calls, &call_demands, call_limit))
 }
 
-/// A node's part of a limit. The parts of all nodes sum to one.
+/// Share of a limit for a node with demand `own`. The shares of all nodes sum to 1.
 pub fn share(own: f64, others: &[f64], limit: f64) -> f64 {
-    let floor = limit * IDLE_DEMAND_PART;
+    let floor = limit * IDLE_DEMAND_FRACTION;
     let counted = |demand: f64| demand.max(0.0) + floor;
     let total = counted(own) + others.iter().map(|demand| counted(*demand)).sum::<f64>();
     counted(own) / total
--- a/crates/beamwall-routing/tests/tenant_limits.rs
+++ b/crates/beamwall-routing/tests/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! The shares of all nodes sum to at most the tenant's limit, whatever demands they report.
+//! Tests of tenant limits: the shares of all nodes sum to at most the limit for any reported demands.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     }
 }
 
-fn property(input: &mut Unstructured<'_>) -> Result<()> {
+fn shares_sum_to_one(input: &mut Unstructured<'_>) -> Result<()> {
     let nodes = input.int_in_range(1..=12)?;
     let limit = f64::from(input.int_in_range(1..=100_000_u32)?);
     let demands: Vec<f64> =
@@ -45,7 +45,7 @@
 #[test]
 fn shares_sum_to_the_limit() {
     for seed in 1..100_u64 {
-        arbtest(property).seed((seed << 32) | 0x200);
+        arbtest(shares_sum_to_one).seed((seed << 32) | 0x200);
     }
 }
 
@@ -62,9 +62,9 @@
     let mut reported: Vec<HashMap<TenantName, Demand>> = vec![HashMap::new(); 6];
     for _ in 0..seconds {
         for (number, node) in nodes.iter().enumerate() {
-            // Uneven: the first node is asked for far more than the others.
-            let asked = if number == 0 { 2_000 } else { 50 };
-            admitted += (0..asked).filter(|_| node.open(&alder, Work::Call).is_ok()).count() as u64;
+            // The first node receives far more requests than the others.
+            let requested = if number == 0 { 2_000 } else { 50 };
+            admitted += (0..requested).filter(|_| node.open(&alder, Work::Call).is_ok()).count() as u64;
         }
         std::thread::sleep(Duration::from_millis(300));
         for (number, node) in nodes.iter().enumerate() {
@@ -80,14 +80,15 @@
             node.set_shares(&reported[own], peers, 5);
         }
     }
-    // One burst of a second at start, then the rate. The sleep is at least what was asked for.
+    // The bound is a burst of one second at the start plus the rate times the elapsed time; the factor 1.5
+    // allows for sleeps that take longer than requested.
     let elapsed = 1.0 + 0.3 * f64::from(seconds) * 1.5;
     assert!(admitted as f64 <= limit as f64 * elapsed, "{admitted} admitted, limit {limit} a second");
     assert!(admitted >= limit / 2, "only {admitted} admitted");
 }
 
 #[test]
-fn over_the_limit_the_caller_is_told_when_to_come_back() {
+fn a_rejection_over_the_limit_carries_a_retry_delay() {
     let limits = TenantLimits::default();
     let alder = tenant(10);
     let refused = (0..200).find_map(|_| limits.open(&alder, Work::Call).err()).expect("a refusal");
