--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -178,8 +178,8 @@
             self.quota_level.with_label_values(&[tenant.as_str()]).set(level);
         }
         self.retries_left.reset();
-        for (service, left) in gateway.forwarder.retries.available_retries() {
-            self.retries_left.with_label_values(&[service.as_str()]).set(left);
+        for (service, available) in gateway.forwarder.retries.available_retries() {
+            self.retries_left.with_label_values(&[service.as_str()]).set(available);
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/known_usage.rs
+++ b/crates/beamwall-node/src/gateway/known_usage.rs
@@ -43,8 +43,8 @@
             let Some(address) = self.longest_running_peer() else { continue };
             let question = self.envelope(Body::UsageRequest(UsageRequest {}));
             let answer = self.network.ask(address, question, ANSWER_TIMEOUT).await;
-            if let Ok(Some(Body::UsageKnown(known))) = answer.map(|envelope| envelope.body) {
-                self.merge_recovered_usage(known);
+            if let Ok(Some(Body::UsageKnown(recorded))) = answer.map(|envelope| envelope.body) {
+                self.merge_recovered_usage(recorded);
                 return;
             }
         }
@@ -61,10 +61,10 @@
         direct.min_by_key(|member| member.incarnation).map(|member| member.address)
     }
 
-    fn merge_recovered_usage(&self, known: UsageAnswer) {
+    fn merge_recovered_usage(&self, recorded: UsageAnswer) {
         let usage = &self.gateway.forwarder.usage;
         // Entries of other generations include this node's own usage before its restart.
-        for entry in known.lives.into_iter().filter(|entry| entry.life != self.generation) {
+        for entry in recorded.lives.into_iter().filter(|entry| entry.life != self.generation) {
             usage.merge(&NodeId::new(&entry.node), entry.life, heartbeat_wire::decode_usage(entry.usage));
         }
     }
--- a/crates/beamwall-node/src/gateway/mod.rs
+++ b/crates/beamwall-node/src/gateway/mod.rs
@@ -374,7 +374,7 @@
     let directory = gateway.forwarder.directory.clone();
     let versions_changed: Arc<Notify> = Arc::default();
     let transfers = Arc::new(TransferPacer::new(settings.link_mbps));
-    let archive: Arc<PolicyHistory> = Arc::default();
+    let policy_history: Arc<PolicyHistory> = Arc::default();
     PeerExchange {
         node: settings.node.clone(),
         zone: settings.zone.clone(),
@@ -395,7 +395,7 @@
         gateway: gateway.clone(),
         policy_actor: PolicyActor::spawn(PolicyActor::new(
             gateway.policy.clone(),
-            archive.clone(),
+            policy_history.clone(),
             versions_changed.clone(),
         )),
         directory_actor: DirectoryActor::spawn(DirectoryActor::new(
@@ -414,7 +414,7 @@
         model_report_throttle: Default::default(),
         directory_versions: PeerVersions::default(),
         peer_restarts: PeerRestarts::default(),
-        policies: PolicyDistribution::new(archive, transfers.clone()),
+        policies: PolicyDistribution::new(policy_history, transfers.clone()),
         transfers,
         zones: Default::default(),
         quarantine_request_throttle: Default::default(),
--- a/crates/beamwall-node/src/gateway/peer_placement.rs
+++ b/crates/beamwall-node/src/gateway/peer_placement.rs
@@ -74,7 +74,7 @@
         let PlacementTarget::Peer(target) = target else { return PlacementOutcome::PlaceLocally };
         let body = Body::PlacementRequest(encode(question));
         let envelope = Envelope { body: Some(body), ..self.envelope.clone() };
-        let stood_still = process_clock::stall_time();
+        let stall_time_before = process_clock::stall_time();
         match self.network.ask(target.address, envelope, ANSWER_TIMEOUT).await.map(|answer| answer.body) {
             Ok(Some(Body::PlacementReply(reply))) if !reply.backend.is_empty() => {
                 self.lock().note_answer(&target.node);
@@ -84,7 +84,7 @@
             Ok(_) | Err(_) => {
                 // If this process was stalled meanwhile, the answer may have arrived unread, so the node is
                 // not blamed.
-                if process_clock::stall_time() == stood_still {
+                if process_clock::stall_time() == stall_time_before {
                     self.note_miss(&target.node);
                 }
                 PlacementOutcome::Unanswered
--- a/crates/beamwall-node/src/gateway/policy_sync.rs
+++ b/crates/beamwall-node/src/gateway/policy_sync.rs
@@ -39,16 +39,16 @@
 /// Policy versions sent to peers and reported by them.
 #[derive(Debug)]
 pub struct PolicyDistribution {
-    archive: Arc<PolicyHistory>,
+    history: Arc<PolicyHistory>,
     transfers: Arc<TransferPacer>,
     peer_versions: PeerVersions,
     encoded: Mutex<Vec<EncodedChange>>,
 }
 
 impl PolicyDistribution {
-    /// Sends versions of `archive`, paced by `transfers`.
-    pub fn new(archive: Arc<PolicyHistory>, transfers: Arc<TransferPacer>) -> Self {
-        Self { archive, transfers, peer_versions: PeerVersions::default(), encoded: Mutex::default() }
+    /// Sends versions of `history`, paced by `transfers`.
+    pub fn new(history: Arc<PolicyHistory>, transfers: Arc<TransferPacer>) -> Self {
+        Self { history, transfers, peer_versions: PeerVersions::default(), encoded: Mutex::default() }
     }
 
     /// The newest version that a peer reported, and for how long this node has lacked it.
@@ -66,13 +66,13 @@
     }
 
     fn encoded_change(&self, request: PolicyRequest) -> Option<Vec<u8>> {
-        let newest = self.archive.newest_version()?;
+        let newest = self.history.newest_version()?;
         let mut encoded = self.encoded.lock().unwrap_or_else(PoisonError::into_inner);
         encoded.retain(|known| known.version == newest);
         if let Some(known) = encoded.iter().find(|known| known.request == request) {
             return Some(known.change.clone());
         }
-        let change = self.archive.change_from(request.held_version, request.held_digest)?;
+        let change = self.history.change_from(request.held_version, request.held_digest)?;
         let bytes = match compressed::encode(&change) {
             Ok(bytes) => bytes,
             Err(error) => {
--- a/crates/beamwall-node/src/gateway/sharing.rs
+++ b/crates/beamwall-node/src/gateway/sharing.rs
@@ -40,8 +40,8 @@
     /// Passes the zones whose nodes are all silent to the choice of back ends.
     pub(super) fn note_silent_zones(&self) {
         let silent = if self.is_large_deployment() { self.zones.silent() } else { self.silent_zones() };
-        let knowledge = &self.gateway.forwarder.backend_state;
-        for zone in knowledge.note_silent_zones(&silent, &self.directory.load()) {
+        let backend_state = &self.gateway.forwarder.backend_state;
+        for zone in backend_state.note_silent_zones(&silent, &self.directory.load()) {
             emit(&ZoneCutOff { zone: zone.to_string() });
         }
     }
@@ -93,7 +93,7 @@
 }
 
 fn is_reachable(member: &Member, within: Duration, now: Instant) -> bool {
-    member.last_received.is_some_and(|heard| now.duration_since(heard) < within)
+    member.last_received.is_some_and(|received_at| now.duration_since(received_at) < within)
 }
 
 /// Whether a member may still be serving callers.
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension.rs
@@ -1,4 +1,4 @@
-//! Detects suspensions of the machine: the clock that counts the time asleep has run ahead of the monotonic
+//! Detects suspensions of the machine: the clock that counts suspended time has run ahead of the monotonic
 //! one.
 //!
 //! Leases and timeouts take that clock into account on their own (`beamwall-clock`). This module logs the
@@ -14,23 +14,23 @@
 /// Shorter suspensions are within the tolerance of leases and timeouts.
 const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
-/// Time that the machine had been asleep at the last check.
+/// Suspended time of the machine at the last check.
 pub struct SuspensionMonitor {
-    asleep_before: Duration,
+    suspended_before: Duration,
     heartbeat_trigger: Arc<Notify>,
 }
 
 impl SuspensionMonitor {
     /// Ignores suspensions up to now; `heartbeat_trigger` is notified after each later one.
     pub fn new(heartbeat_trigger: Arc<Notify>) -> Self {
-        Self { asleep_before: beamwall_clock::suspended_time(), heartbeat_trigger }
+        Self { suspended_before: beamwall_clock::suspended_time(), heartbeat_trigger }
     }
 
     /// Checks whether the machine was suspended since the last check.
     pub fn detect_suspension(&mut self) {
-        let asleep = beamwall_clock::suspended_time();
-        let length = asleep.saturating_sub(self.asleep_before);
-        self.asleep_before = asleep;
+        let suspended = beamwall_clock::suspended_time();
+        let length = suspended.saturating_sub(self.suspended_before);
+        self.suspended_before = suspended;
         if length >= MIN_SUSPENSION {
             emit(&MachineSuspended { asleep_ms: length.as_millis().to_string() });
             self.heartbeat_trigger.notify_one();
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -246,7 +246,7 @@
         // This read may be older than the list held here, so a difference proves nothing: the newest list is
         // read before anything is applied.
         if read != self.reader.current.load().digest() {
-            self.doubts().note_store_disagrees();
+            self.staleness().note_store_disagrees();
         }
         Ok(None)
     }
@@ -258,15 +258,15 @@
     async fn suspected_stale(&self) {
         loop {
             tokio::time::sleep(STALE_CHECK_PERIOD).await;
-            if self.doubt().is_none() {
+            if self.staleness_evidence().is_none() {
                 continue;
             }
             if !self.is_watcher() {
                 tokio::time::sleep(self.non_watcher_delay()).await;
             }
-            if let Some(doubt) = self.doubt() {
+            if let Some(evidence) = self.staleness_evidence() {
                 let revision = self.reader.current.load().revision().to_string();
-                emit(&DirectoryDoubted { reason: describe(&doubt), revision });
+                emit(&DirectoryDoubted { reason: describe(&evidence), revision });
                 return;
             }
         }
@@ -274,7 +274,7 @@
 }
 
 impl WatchedBackends {
-    fn doubts(&self) -> &StalenessTracker {
+    fn staleness(&self) -> &StalenessTracker {
         &self.gateway.forwarder.backend_state.staleness
     }
 
@@ -282,8 +282,8 @@
         self.reader.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE)
     }
 
-    fn doubt(&self) -> Option<StalenessEvidence> {
-        self.doubts().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
+    fn staleness_evidence(&self) -> Option<StalenessEvidence> {
+        self.staleness().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
     }
 
     /// Delay for which a node that does not watch for its zone leaves the read to the watchers.
@@ -302,10 +302,10 @@
             ListRead::Whole(read) => read,
         };
         let revision = read.revision;
-        let correction = self.apply_list(read).await;
+        let reconciliation = self.apply_list(read).await;
         if purpose == ReadPurpose::Reread {
-            self.doubts().note_reload(correction == Reconciliation::Changed, Instant::now());
-            let outcome = format!("{correction:?}");
+            self.staleness().note_reload(reconciliation == Reconciliation::Changed, Instant::now());
+            let outcome = format!("{reconciliation:?}");
             emit(&DirectoryReviewed { outcome, held: held.to_string(), read: revision.to_string() });
         }
         Ok(revision)
@@ -315,12 +315,12 @@
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
         // The actor stops only together with the node.
         let taken = self.directory_updates.ask(reading).await;
-        taken.map_or(Reconciliation::Outdated, |ReadingTaken(correction)| correction)
+        taken.map_or(Reconciliation::Outdated, |ReadingTaken(reconciliation)| reconciliation)
     }
 }
 
-fn describe(doubt: &StalenessEvidence) -> String {
-    match doubt {
+fn describe(evidence: &StalenessEvidence) -> String {
+    match evidence {
         StalenessEvidence::Unreachable(backend) => format!("unreached: {backend}"),
         StalenessEvidence::PeersDisagree(peers) => format!("peers: {peers}"),
         StalenessEvidence::StoreDisagrees => "store".to_owned(),
