--- a/crates/beamwall-node/src/gateway/duties/kept.rs
+++ b/crates/beamwall-node/src/gateway/duties/checkpoint.rs
@@ -1,4 +1,5 @@
-//! What the duties of this node keep with the lease, and went on from: open windows of usage, the needs of services, and orders.
+//! State of the duties that is stored with the lease and restored by the next holder: open usage windows,
+//! needs of services, and orders.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,32 +13,32 @@
 use beamwall_peer::compressed;
 use beamwall_store::Checkpoint;
 
-/// Largest checkpoint, as text: the platform bounds the size of an object.
+/// Maximum size of a checkpoint, as text: the platform limits the size of an object.
 const CHECKPOINT_LIMIT_BYTES: usize = 256 << 10;
 
 #[derive(Debug)]
 struct State {
     first_open_window: u64,
     needs: BTreeMap<ServiceName, Needed>,
-    /// Needs that the last holder kept.
-    taken_needs: BTreeMap<ServiceName, Needed>,
+    /// Needs that the previous lease holder saved.
+    inherited_needs: BTreeMap<ServiceName, Needed>,
     orders: Vec<SavedOrder>,
 }
 
-/// What the duties keep with the lease.
-pub(super) struct KeptDuties {
+/// Saves and restores the state of the duties.
+pub(super) struct DutyCheckpointer {
     gateway: Arc<Gateway>,
     state: Mutex<State>,
 }
 
-impl KeptDuties {
-    /// Nothing taken over yet: usage begins with the window of now.
+impl DutyCheckpointer {
+    /// Starts without restored state: usage begins with the current window.
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
         let (current, _) = gateway.forwarder.usage.window_at(gateway.forwarder.clock.now());
         let state = State {
             first_open_window: current,
             needs: BTreeMap::new(),
-            taken_needs: BTreeMap::new(),
+            inherited_needs: BTreeMap::new(),
             orders: Vec::new(),
         };
         Self { gateway, state: Mutex::new(state) }
@@ -47,39 +48,39 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The oldest window of usage that is not fixed, as far as this node knows.
+    /// The oldest usage window that is not fixed, as far as this node knows.
     pub(super) fn first_open_window(&self) -> u64 {
         self.lock().first_open_window
     }
 
-    /// Notes the oldest window that is not fixed.
+    /// Records the oldest window that is not fixed.
     pub(super) fn note_first_open_window(&self, window: u64) {
         self.lock().first_open_window = window;
     }
 
-    /// Notes what a service needs.
+    /// Records the needs of a service.
     pub(super) fn note_needs(&self, service: &ServiceName, needed: Needed) {
         self.lock().needs.insert(service.clone(), needed);
     }
 
-    /// What a service needed when the last holder looked.
-    pub(super) fn taken_needs(&self, service: &ServiceName) -> Option<Needed> {
-        self.lock().taken_needs.get(service).copied()
+    /// Needs of a service at the last evaluation of the previous lease holder.
+    pub(super) fn inherited_needs(&self, service: &ServiceName) -> Option<Needed> {
+        self.lock().inherited_needs.get(service).copied()
     }
 
-    /// Notes what was ordered.
+    /// Records the current orders.
     pub(super) fn note_orders(&self, orders: Vec<SavedOrder>) {
         self.lock().orders = orders;
     }
 
-    /// What was ordered last, as far as this node knows.
+    /// The last orders known to this node.
     pub(super) fn orders(&self) -> Vec<SavedOrder> {
         self.lock().orders.clone()
     }
 
     fn checkpoint(&self) -> DutyCheckpoint {
         let state = self.lock();
-        let mut needs = state.taken_needs.clone();
+        let mut needs = state.inherited_needs.clone();
         needs.extend(state.needs.clone());
         DutyCheckpoint {
             first_open_window: Some(state.first_open_window),
@@ -92,11 +93,11 @@
     fn forget_orders(&self) {
         let mut state = self.lock();
         state.orders.clear();
-        state.taken_needs.clear();
+        state.inherited_needs.clear();
     }
 
-    fn go_on_from(&self, kept: DutyCheckpoint) {
-        let DutyCheckpoint { first_open_window, usage, needs, orders } = kept;
+    fn resume_from(&self, saved: DutyCheckpoint) {
+        let DutyCheckpoint { first_open_window, usage, needs, orders } = saved;
         let mut state = self.lock();
         if let Some(first) = first_open_window {
             state.first_open_window = state.first_open_window.min(first);
@@ -108,13 +109,13 @@
             requests: requests.to_string(),
             services: needs.len().to_string(),
         });
-        state.taken_needs = needs;
+        state.inherited_needs = needs;
         state.orders = orders;
         self.gateway.forwarder.usage.restore_checkpoint(usage);
     }
 }
 
-impl Checkpoint for KeptDuties {
+impl Checkpoint for DutyCheckpointer {
     fn saved_state(&self) -> String {
         let text = compressed::encode(&self.checkpoint()).map(hex::encode);
         match text {
@@ -134,15 +135,16 @@
         self.gateway.forwarder.usage.changes()
     }
 
-    fn restore(&self, kept: &str) {
-        // A holder of an earlier build keeps nothing, and may have ordered otherwise than this node once did.
-        if kept.is_empty() {
+    fn restore(&self, saved: &str) {
+        // A lease holder of an earlier build saves nothing, and its orders may differ from those of this
+        // node's last term.
+        if saved.is_empty() {
             return self.forget_orders();
         }
-        let bytes = hex::decode(kept).map_err(|error| error.to_string());
+        let bytes = hex::decode(saved).map_err(|error| error.to_string());
         let read = bytes.and_then(|bytes| compressed::decode(&bytes).map_err(|error| error.to_string()));
         match read {
-            Ok(checkpoint) => self.go_on_from(checkpoint),
+            Ok(checkpoint) => self.resume_from(checkpoint),
             Err(reason) => {
                 emit(&DutiesNotKept { reason });
                 self.forget_orders();
--- a/crates/beamwall-node/src/gateway/quarantine_wire.rs
+++ b/crates/beamwall-node/src/gateway/quarantine_wire.rs
@@ -1,4 +1,4 @@
-//! Evidence against requests in the form of messages.
+//! Conversion of evidence against requests to and from messages.
 
 use beamwall_model::BackendId;
 use beamwall_peer::quarantine_message::{
@@ -7,12 +7,12 @@
 use beamwall_quarantine::fingerprint::FINGERPRINT_BYTES;
 use beamwall_quarantine::{Completion, Evidence, Fingerprint, Termination, Trial};
 
-/// Evidence as told.
+/// Encodes evidence.
 pub fn encode(evidence: &Evidence) -> QuarantineUpdate {
-    let ending = |ending: &Termination| TerminationMessage {
-        backend: ending.backend.to_string(),
-        at_ms: ending.at_ms,
-        open: ending.open.iter().flat_map(|request| *request.as_bytes()).collect(),
+    let termination = |termination: &Termination| TerminationMessage {
+        backend: termination.backend.to_string(),
+        at_ms: termination.at_ms,
+        open: termination.open.iter().flat_map(|request| *request.as_bytes()).collect(),
     };
     let completion = |completion: &Completion| CompletionMessage {
         request: completion.request.as_bytes().to_vec(),
@@ -24,29 +24,33 @@
         at_ms: trial.at_ms,
     };
     QuarantineUpdate {
-        endings: evidence.endings.iter().map(ending).collect(),
+        endings: evidence.endings.iter().map(termination).collect(),
         completions: evidence.completions.iter().map(completion).collect(),
         trials: evidence.trials.iter().map(trial).collect(),
     }
 }
 
-/// Evidence as heard; what names no request is passed over.
-pub fn decode(news: &QuarantineUpdate) -> Evidence {
-    let ending = |told: &TerminationMessage| Termination {
-        backend: BackendId::new(&told.backend),
-        at_ms: told.at_ms,
-        open: told.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
+/// Decodes evidence; entries without a valid fingerprint are skipped.
+pub fn decode(update: &QuarantineUpdate) -> Evidence {
+    let termination = |wire_entry: &TerminationMessage| Termination {
+        backend: BackendId::new(&wire_entry.backend),
+        at_ms: wire_entry.at_ms,
+        open: wire_entry.open.chunks(FINGERPRINT_BYTES).filter_map(fingerprint).collect(),
     };
-    let completion = |told: &CompletionMessage| {
-        Some(Completion { request: fingerprint(&told.request)?, at_ms: told.at_ms })
+    let completion = |wire_entry: &CompletionMessage| {
+        Some(Completion { request: fingerprint(&wire_entry.request)?, at_ms: wire_entry.at_ms })
     };
-    let trial = |told: &TrialMessage| {
-        Some(Trial { request: fingerprint(&told.request)?, number: told.number, at_ms: told.at_ms })
+    let trial = |wire_entry: &TrialMessage| {
+        Some(Trial {
+            request: fingerprint(&wire_entry.request)?,
+            number: wire_entry.number,
+            at_ms: wire_entry.at_ms,
+        })
     };
     Evidence {
-        endings: news.endings.iter().map(ending).collect(),
-        completions: news.completions.iter().filter_map(completion).collect(),
-        trials: news.trials.iter().filter_map(trial).collect(),
+        endings: update.endings.iter().map(termination).collect(),
+        completions: update.completions.iter().filter_map(completion).collect(),
+        trials: update.trials.iter().filter_map(trial).collect(),
     }
 }
 
--- a/crates/beamwall-node/src/gateway/rollouts.rs
+++ b/crates/beamwall-node/src/gateway/rollouts.rs
@@ -1,5 +1,6 @@
-//! How gateways know of orders to move a service to another version: the nodes that watch the store for their zone read them,
-//! and heartbeats tell all others the orders, how far they have come and what was counted.
+//! Distribution of rollout orders (moves of a service to another version): the nodes selected to watch the
+//! store for their zone read the orders, and heartbeats carry the orders, their progress and the evidence to
+//! all other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,34 +13,35 @@
 use beamwall_peer::rollout_message::RolloutUpdate;
 use beamwall_rollout::{OrderUpdate, RolloutRegistry};
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::rollout_wire;
-use crate::gateway::watches::Followed;
+use crate::gateway::watches::WatchedResource;
 
-/// Longest wait of one watch call: orders are rare, and each call has its price.
+/// Longest wait of one watch call: orders are rare, and each call to the store has a cost.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// Time between two cheaper readings: orders are rare, and take longer than this.
-const REVIEW_PERIOD: Duration = Duration::from_secs(10);
+/// Time between two verifications: orders are rare, and take longer than this.
+const VERIFY_PERIOD: Duration = Duration::from_secs(10);
 
-/// Time before a new version takes all requests from which nodes tell at each news what they counted.
-const TOLD_AT_ONCE: Duration = Duration::from_millis(500);
+/// Time before a new version receives all requests from which each stage update triggers an immediate
+/// heartbeat with the evidence.
+const IMMEDIATE_REPORT_WINDOW: Duration = Duration::from_millis(500);
 
-/// The orders in the store.
-pub struct FollowedOrders {
-    /// The store.
+/// Rollout orders in the store.
+pub struct WatchedOrders {
+    /// The control store.
     pub store: Arc<dyn RolloutStore>,
-    /// What is known of orders; its owner forwards requests by it.
-    pub exchange: Arc<Exchange>,
+    /// Owns the rollouts by which requests are forwarded.
+    pub exchange: Arc<PeerExchange>,
 }
 
-impl Followed for FollowedOrders {
+impl WatchedResource for WatchedOrders {
     const SUBJECT: &'static str = "rollouts";
-    const GATHERING_TIME: Duration = Duration::ZERO;
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::ZERO;
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        if let Some(revision) = reached {
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        if let Some(revision) = last_revision {
             let (now_at, has_changed) = self.store.wait_for_orders(revision, WATCH_WAIT).await?;
             if !has_changed {
                 return Ok(now_at);
@@ -47,14 +49,14 @@
         }
         let listed = self.store.orders().await?;
         let revision = listed.revision;
-        self.take(listed);
+        self.apply_list(listed);
         Ok(revision)
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
         let listed = self.store.recent_orders().await?;
         let revision = listed.revision;
-        Ok(self.take(listed).then_some(revision))
+        Ok(self.apply_list(listed).then_some(revision))
     }
 
     fn entries(&self) -> usize {
@@ -62,94 +64,95 @@
     }
 }
 
-impl FollowedOrders {
-    /// Takes the orders as listed; returns whether anything is new.
-    fn take(&self, listed: ListedOrders) -> bool {
+impl WatchedOrders {
+    /// Applies the list of orders from the store; returns whether anything changed.
+    fn apply_list(&self, listed: ListedOrders) -> bool {
         let services: Vec<ServiceName> =
             listed.orders.iter().map(|listed| listed.order.id.service.clone()).collect();
-        let book = self.exchange.rollouts();
-        let mut has_changed = book.withdraw_unlisted(&services, listed.revision);
+        let registry = self.exchange.rollouts();
+        let mut has_changed = registry.withdraw_unlisted(&services, listed.revision);
         for order in listed.orders {
-            has_changed |= take_order(book, order);
+            has_changed |= apply_listed_order(registry, order);
         }
         if has_changed {
-            self.exchange.news.notify_one();
+            self.exchange.heartbeat_trigger.notify_one();
         }
         has_changed
     }
 }
 
-fn take_order(book: &RolloutRegistry, listed: ListedOrder) -> bool {
-    let news = OrderUpdate {
+fn apply_listed_order(registry: &RolloutRegistry, listed: ListedOrder) -> bool {
+    let order_update = OrderUpdate {
         order: listed.order,
         revision: listed.revision,
         age: Duration::ZERO,
         verdict: listed.verdict,
         is_withdrawn: false,
     };
-    hear_order(book, news)
+    merge_order_update(registry, order_update)
 }
 
-/// Takes an order; what it says anew is logged.
-fn hear_order(book: &RolloutRegistry, news: OrderUpdate) -> bool {
+/// Applies an order and logs it if it changed.
+fn merge_order_update(registry: &RolloutRegistry, order_update: OrderUpdate) -> bool {
     let event = RolloutOrdered {
-        service: news.order.id.service.to_string(),
-        target: news.order.id.target.to_string(),
-        interval_ms: news.order.interval.as_millis().to_string(),
-        verdict: format!("{:?}", news.verdict),
-        withdrawn: news.is_withdrawn.to_string(),
+        service: order_update.order.id.service.to_string(),
+        target: order_update.order.id.target.to_string(),
+        interval_ms: order_update.order.interval.as_millis().to_string(),
+        verdict: format!("{:?}", order_update.verdict),
+        withdrawn: order_update.is_withdrawn.to_string(),
     };
-    let is_new = book.merge_order(news, beamwall_clock::now());
+    let is_new = registry.merge_order(order_update, beamwall_clock::now());
     if is_new {
         emit(&event);
     }
     is_new
 }
 
-impl Exchange {
-    /// The orders as this node knows them.
+impl PeerExchange {
+    /// The orders known to this node.
     pub fn rollouts(&self) -> &RolloutRegistry {
         &self.gateway.forwarder.rollouts
     }
 
-    /// What this node knows of rollouts, with what it counted itself.
-    pub(super) fn rollouts_to_tell(&self) -> Option<RolloutUpdate> {
-        let (book, now) = (self.rollouts(), beamwall_clock::now());
-        rollout_wire::encode(book.orders(now), book.stages(now), book.own_evidence())
+    /// Orders, stages and the evidence counted by this node.
+    pub(super) fn node_rollout_update(&self) -> Option<RolloutUpdate> {
+        let (registry, now) = (self.rollouts(), beamwall_clock::now());
+        rollout_wire::encode(registry.orders(now), registry.stages(now), registry.own_evidence())
     }
 
-    /// The same for other zones, with what all nodes of this one counted.
-    pub(super) fn rollouts_of_zone(&self) -> Option<RolloutUpdate> {
-        let (book, now) = (self.rollouts(), beamwall_clock::now());
-        rollout_wire::encode(book.orders(now), book.stages(now), book.evidence_of_nodes())
+    /// Orders, stages and the evidence counted by all nodes of this zone, for other zones.
+    pub(super) fn zone_rollout_update(&self) -> Option<RolloutUpdate> {
+        let (registry, now) = (self.rollouts(), beamwall_clock::now());
+        rollout_wire::encode(registry.orders(now), registry.stages(now), registry.evidence_of_nodes())
     }
 
-    /// Takes what a node tells of rollouts and counted itself.
-    pub(super) fn take_rollouts_of_node(&self, node: &NodeId, life: u64, news: &RolloutUpdate) {
-        self.take_rollouts(news);
-        self.rollouts().merge_node_evidence(node, life, &rollout_wire::decode_evidence(news));
+    /// Applies the rollouts and the evidence reported by a node.
+    pub(super) fn apply_node_rollouts(&self, node: &NodeId, generation: u64, update: &RolloutUpdate) {
+        self.apply_rollout_update(update);
+        self.rollouts().merge_node_evidence(node, generation, &rollout_wire::decode_evidence(update));
     }
 
-    /// Takes what a relay tells of rollouts and its zone counted.
-    pub(super) fn take_rollouts_of_zone(&self, zone: &ZoneName, news: &RolloutUpdate) {
-        self.take_rollouts(news);
-        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(news));
+    /// Applies the rollouts reported by a relay and the evidence of its zone.
+    pub(super) fn apply_zone_rollouts(&self, zone: &ZoneName, update: &RolloutUpdate) {
+        self.apply_rollout_update(update);
+        self.rollouts().merge_zone_evidence(zone, &rollout_wire::decode_evidence(update));
     }
 
-    /// Takes orders and stages; news of an order goes on at once.
-    fn take_rollouts(&self, news: &RolloutUpdate) {
-        let book = self.rollouts();
+    /// Applies orders and stages; a changed order triggers a heartbeat at once.
+    fn apply_rollout_update(&self, update: &RolloutUpdate) {
+        let registry = self.rollouts();
         let mut has_changed = false;
-        for order in rollout_wire::decode_orders(news) {
-            has_changed |= hear_order(book, order);
+        for order in rollout_wire::decode_orders(update) {
+            has_changed |= merge_order_update(registry, order);
         }
-        for stage in rollout_wire::decode_stages(news) {
-            let is_new = book.merge_stage(&stage, beamwall_clock::now());
-            // While the new version takes all, what it does must be known at once.
-            has_changed |= is_new && stage.stage.takes_all_in.is_some_and(|left| left <= TOLD_AT_ONCE);
+        for stage in rollout_wire::decode_stages(update) {
+            let is_new = registry.merge_stage(&stage, beamwall_clock::now());
+            // When the new version takes all requests, its evidence must reach other nodes without delay.
+            has_changed |=
+                is_new && stage.stage.takes_all_in.is_some_and(|left| left <= IMMEDIATE_REPORT_WINDOW);
         }
         if has_changed {
-            self.news.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/watches.rs
+++ b/crates/beamwall-node/src/gateway/watches.rs
@@ -1,14 +1,15 @@
-//! Follows the store of decisions: one watch over the policy and one over the back ends.
+//! Watches the control store: one watch for the policy and one for the back ends.
 //!
-//! In a large zone a few nodes watch and tell the others; who does is chosen by rendezvous hash among
-//! those alive, so that another takes over as soon as one is missed. Every node reads once at its start.
+//! In a large zone a few nodes watch and update the others. They are selected by rendezvous hash among the
+//! live nodes, so another node takes over as soon as one is found missing. Every node reads once at its
+//! start.
 //!
-//! A watch that fails is taken up again at the revision it had reached, so nothing between is
-//! missed; when that history is gone, everything is read anew. Waits are short, because a watch
-//! on a connection that died silently hears nothing until its time is over.
+//! A watch that fails is resumed at the last revision, so no change is missed; if the store no longer has
+//! that history, everything is read again. Waits are short, because a watch on a connection that died
+//! silently receives nothing until its timeout.
 //!
-//! A watch that passes a change over never tells of it. So one node holds what is known against a cheaper reading now
-//! and then, and what is doubted is read whole again.
+//! A watch that skipped a change never delivers it later. One node therefore verifies the current state
+//! periodically with a cheaper read, and a list suspected to be stale is read again in full.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -27,36 +28,37 @@
 
 use crate::actors::directory::{ApplyChanges, DirectoryActor, ReadingTaken, TakeReading};
 use crate::actors::policy::{OfferPolicy, PolicyActor};
-use crate::gateway::chooser::ZoneChooser;
-use crate::gateway::listing::{Listed, Listing, Purpose};
+use crate::gateway::listing::{DirectoryReader, ListRead, ReadPurpose};
+use crate::gateway::node_selector::NodeSelector;
 use crate::gateway::store_status::StoreStatus;
 
 /// Longest wait of one watch call.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
-/// Nodes of a zone that watch each subject.
+/// Number of nodes of a zone that watch each resource.
 pub(super) const WATCHERS_PER_ZONE: usize = 2;
-/// First pause after a failure; it doubles with each further one.
+/// Delay after the first failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause.
+/// Longest delay after a failure.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Time between two cheaper readings of a subject, by one node for all.
-const REVIEW_PERIOD: Duration = Duration::from_secs(5);
-/// Further time for each entry that such a reading brings: a long list takes the link of the node that reads it.
-const REVIEW_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
-/// Time between two looks at whether the list of back ends is doubted.
-const DOUBT_PERIOD: Duration = Duration::from_millis(250);
-/// Longest wait, for each node known, of those that don't watch for their zone: those that do read first and tell the others.
-const LEFT_TO_WATCHERS_PER_NODE: Duration = Duration::from_millis(20);
-/// The shortest wait of those that don't watch.
-const LEFT_TO_WATCHERS: Duration = Duration::from_secs(2);
-/// The source named in logs.
+/// Time between two verifications of a resource, by one node of the deployment.
+const VERIFY_PERIOD: Duration = Duration::from_secs(5);
+/// Additional time per entry: reading a long list occupies the link of the node that verifies.
+const VERIFY_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
+/// Time between two checks whether the list of back ends is suspected to be stale.
+const STALE_CHECK_PERIOD: Duration = Duration::from_millis(250);
+/// Upper bound, per known node, of the random additional delay of nodes that do not watch for their zone: the
+/// watchers read first and update the others.
+const NON_WATCHER_DELAY_PER_NODE: Duration = Duration::from_millis(20);
+/// Minimum delay of nodes that do not watch for their zone.
+const NON_WATCHER_DELAY: Duration = Duration::from_secs(2);
+/// Source of the data in log events.
 const SOURCE: &str = "store";
-/// The policy as a subject of the store.
+/// Name of the policy resource.
 pub const POLICY: &str = "policy";
-/// The back ends as a subject of the store.
+/// Name of the back ends resource.
 pub const BACKENDS: &str = "back ends";
 
-/// Pauses that grow while calls fail.
+/// Exponential delay between failed calls.
 struct Backoff(Duration);
 
 impl Backoff {
@@ -74,47 +76,55 @@
     }
 }
 
-/// Something in the store that is followed: read whole once, then watched, and held against a cheaper reading now and then.
-pub trait Followed: Send + Sync + 'static {
-    /// Its name in logs, and by which its watchers are chosen.
+/// A resource of the store that is read once, then watched, and periodically verified with a cheaper read.
+pub trait WatchedResource: Send + Sync + 'static {
+    /// Name in logs and metrics, and key for selecting the watching nodes.
     const SUBJECT: &'static str;
-    /// Pause after a change, so that those that follow at once come in one answer.
-    const GATHERING_TIME: Duration;
-    /// Time between two cheaper readings.
-    const REVIEW_PERIOD: Duration;
-
-    /// Reads it whole, or watches on from the revision reached; gives the revision reached then.
-    fn step(&self, reached: Option<u64>) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
-
-    /// Takes what a cheaper reading brings that was not told; gives its revision, or `None` where there is nothing new.
-    fn review(&self) -> impl Future<Output = Result<Option<u64>, ControlStoreError>> + Send;
-
-    /// Entries that such a reading brings.
+    /// Delay after a change, so that further changes right after it arrive in one answer.
+    const BATCH_DELAY: Duration;
+    /// Time between two verifications.
+    const VERIFY_PERIOD: Duration;
+
+    /// Reads the whole resource, or watches it from `last_revision`; returns the new revision.
+    fn read_or_watch(
+        &self,
+        last_revision: Option<u64>,
+    ) -> impl Future<Output = Result<u64, ControlStoreError>> + Send;
+
+    /// Verifies the resource with a cheaper read and applies missed changes; returns the revision read, or
+    /// `None` if nothing was missed.
+    fn verify(&self) -> impl Future<Output = Result<Option<u64>, ControlStoreError>> + Send;
+
+    /// Number of entries that a verification reads.
     fn entries(&self) -> usize;
 
-    /// Returns as soon as what is known should be read whole again.
-    fn doubted(&self) -> impl Future<Output = ()> + Send {
+    /// Returns as soon as the whole resource should be read again.
+    fn suspected_stale(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
 
-/// Follows a subject until the task is ended. After the first reading only the nodes chosen watch on.
-pub async fn follow<F: Followed>(followed: Arc<F>, status: Arc<StoreStatus>, chooser: ZoneChooser) {
+/// Watches a resource until the task is aborted. After the first read only selected nodes keep watching.
+pub async fn watch_resource<F: WatchedResource>(
+    resource: Arc<F>,
+    status: Arc<StoreStatus>,
+    selector: NodeSelector,
+) {
     let mut backoff = Backoff::new();
-    let mut reached: Option<u64> = None;
-    let mut doubted = pin!(followed.doubted());
+    let mut last_revision: Option<u64> = None;
+    let mut suspected_stale = pin!(resource.suspected_stale());
     loop {
-        let watched = async {
-            if reached.is_some() {
-                chooser.wait_chosen(F::SUBJECT, WATCHERS_PER_ZONE).await;
+        let step_future = async {
+            if last_revision.is_some() {
+                selector.wait_until_selected(F::SUBJECT, WATCHERS_PER_ZONE).await;
             }
-            followed.step(reached).await
+            resource.read_or_watch(last_revision).await
         };
         let answer = tokio::select! {
-            answer = watched => answer,
-            () = &mut doubted, if reached.is_some() => {
-                doubted.set(followed.doubted());
-                reached = None;
+            answer = step_future => answer,
+            () = &mut suspected_stale, if last_revision.is_some() => {
+                suspected_stale.set(resource.suspected_stale());
+                last_revision = None;
                 continue;
             }
         };
@@ -122,13 +132,13 @@
             Ok(revision) => {
                 status.note_answer(F::SUBJECT);
                 backoff.reset();
-                if reached.is_some_and(|before| before < revision) {
-                    tokio::time::sleep(F::GATHERING_TIME).await;
+                if last_revision.is_some_and(|before| before < revision) {
+                    tokio::time::sleep(F::BATCH_DELAY).await;
                 }
-                reached = Some(revision);
+                last_revision = Some(revision);
             }
             Err(error) => {
-                reached = reached.filter(|_| may_resume(&error));
+                last_revision = last_revision.filter(|_| may_resume(&error));
                 status.note_failure(F::SUBJECT, &error.to_string());
                 backoff.pause().await;
             }
@@ -136,39 +146,39 @@
     }
 }
 
-/// Holds a subject against cheaper readings until the task is ended, while this node is chosen to.
-pub async fn review<F: Followed>(followed: Arc<F>, chooser: ZoneChooser) {
+/// Verifies a resource periodically until the task is aborted, while this node is selected to do so.
+pub async fn verify_resource<F: WatchedResource>(resource: Arc<F>, selector: NodeSelector) {
     loop {
-        let entries = u32::try_from(followed.entries()).unwrap_or(u32::MAX);
-        let period = F::REVIEW_PERIOD + REVIEW_PERIOD_PER_ENTRY * entries;
+        let entries = u32::try_from(resource.entries()).unwrap_or(u32::MAX);
+        let period = F::VERIFY_PERIOD + VERIFY_PERIOD_PER_ENTRY * entries;
         tokio::time::sleep(period).await;
-        if !chooser.is_chosen_of_all(F::SUBJECT) {
+        if !selector.is_selected_globally(F::SUBJECT) {
             continue;
         }
-        // Where the store is away, the watch over the same subject tells of it.
-        if let Ok(Some(revision)) = followed.review().await {
+        // If the store is unavailable, the watch of the same resource reports it.
+        if let Ok(Some(revision)) = resource.verify().await {
             emit(&WatchMissedChange { what: F::SUBJECT.to_owned(), revision: revision.to_string() });
         }
     }
 }
 
 /// The policy in the store.
-pub struct FollowedPolicy {
-    /// The store.
+pub struct WatchedPolicy {
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
-    /// Takes newer policies.
+    /// Applies newer policies.
     pub policy: ActorRef<PolicyActor>,
-    /// Holds the policy in force.
+    /// Holds the policy in effect.
     pub gateway: Arc<Gateway>,
 }
 
-impl Followed for FollowedPolicy {
+impl WatchedResource for WatchedPolicy {
     const SUBJECT: &'static str = POLICY;
-    const GATHERING_TIME: Duration = Duration::ZERO;
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::ZERO;
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        let PolicyAnswer { revision, policy } = match reached {
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        let PolicyAnswer { revision, policy } = match last_revision {
             None => self.store.policy().await?,
             Some(revision) => self.store.watch_policy(revision, WATCH_WAIT).await?,
         };
@@ -176,7 +186,7 @@
         Ok(revision)
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
         let PolicyAnswer { revision, policy } = self.store.recent_policy().await?;
         let is_new = self.offer(policy).await;
         Ok(is_new.then_some(revision))
@@ -189,133 +199,135 @@
     }
 }
 
-impl FollowedPolicy {
-    /// Offers what was read; returns whether it is newer than what was in force.
+impl WatchedPolicy {
+    /// Offers the policy read from the store; returns whether it is newer than the one in effect.
     async fn offer(&self, policy: Option<TrafficPolicy>) -> bool {
         let Some(policy) = policy else { return false };
         let offer = OfferPolicy { policy, source: SOURCE.to_owned() };
-        // The actor ends only with the node.
+        // The actor stops only together with the node.
         self.policy.ask(offer).await.unwrap_or(false)
     }
 }
 
-/// The back ends in the store.
-pub struct FollowedBackends {
-    /// The store.
+/// The list of back ends in the store.
+pub struct WatchedBackends {
+    /// The control store.
     pub store: Arc<dyn ControlStore>,
     /// Reads the whole list.
-    pub listing: Listing,
-    /// Takes lists and changes.
-    pub directory: ActorRef<DirectoryActor>,
-    /// Knows what speaks against the list.
+    pub reader: DirectoryReader,
+    /// Applies lists and changes.
+    pub directory_updates: ActorRef<DirectoryActor>,
+    /// Holds the indications that the list may be stale.
     pub gateway: Arc<Gateway>,
 }
 
-impl Followed for FollowedBackends {
+impl WatchedResource for WatchedBackends {
     const SUBJECT: &'static str = BACKENDS;
-    const GATHERING_TIME: Duration = Duration::from_millis(60);
-    const REVIEW_PERIOD: Duration = REVIEW_PERIOD;
+    const BATCH_DELAY: Duration = Duration::from_millis(60);
+    const VERIFY_PERIOD: Duration = VERIFY_PERIOD;
 
-    async fn step(&self, reached: Option<u64>) -> Result<u64, ControlStoreError> {
-        match reached {
-            None => self.read_whole().await,
+    async fn read_or_watch(&self, last_revision: Option<u64>) -> Result<u64, ControlStoreError> {
+        match last_revision {
+            None => self.read_whole_list().await,
             Some(base) => {
                 let watched = self.store.watch_backends(base, WATCH_WAIT).await?;
-                self.listing.unreadable.note(&watched.unreadable);
+                self.reader.unreadable.note(&watched.unreadable);
                 let changes = watched.changes;
                 let revision = changes.revision;
                 let source = SOURCE.to_owned();
-                let _ = self.directory.ask(ApplyChanges { base, changes, source }).await;
+                let _ = self.directory_updates.ask(ApplyChanges { base, changes, source }).await;
                 Ok(revision)
             }
         }
     }
 
-    async fn review(&self) -> Result<Option<u64>, ControlStoreError> {
-        let read = self.listing.recent_digest().await?;
-        // It may be older than what is held, so it is no proof: the newest is read before anything is taken.
-        if read != self.listing.known.load().digest() {
-            self.doubts().note_store_disagrees();
+    async fn verify(&self) -> Result<Option<u64>, ControlStoreError> {
+        let read = self.reader.recent_digest().await?;
+        // This read may be older than the list held here, so a difference proves nothing: the newest list is
+        // read before anything is applied.
+        if read != self.reader.current.load().digest() {
+            self.staleness().note_store_disagrees();
         }
         Ok(None)
     }
 
     fn entries(&self) -> usize {
-        self.listing.known.load().backends().count()
+        self.reader.current.load().backends().count()
     }
 
-    async fn doubted(&self) {
+    async fn suspected_stale(&self) {
         loop {
-            tokio::time::sleep(DOUBT_PERIOD).await;
-            if self.doubt().is_none() {
+            tokio::time::sleep(STALE_CHECK_PERIOD).await;
+            if self.staleness_evidence().is_none() {
                 continue;
             }
-            if !self.watches() {
-                tokio::time::sleep(self.left_to_watchers()).await;
+            if !self.is_watcher() {
+                tokio::time::sleep(self.non_watcher_delay()).await;
             }
-            if let Some(doubt) = self.doubt() {
-                let revision = self.listing.known.load().revision().to_string();
-                emit(&DirectoryDoubted { reason: describe(&doubt), revision });
+            if let Some(evidence) = self.staleness_evidence() {
+                let revision = self.reader.current.load().revision().to_string();
+                emit(&DirectoryDoubted { reason: describe(&evidence), revision });
                 return;
             }
         }
     }
 }
 
-impl FollowedBackends {
-    fn doubts(&self) -> &StalenessTracker {
+impl WatchedBackends {
+    fn staleness(&self) -> &StalenessTracker {
         &self.gateway.forwarder.backend_state.staleness
     }
 
-    fn watches(&self) -> bool {
-        self.listing.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE)
+    fn is_watcher(&self) -> bool {
+        self.reader.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE)
     }
 
-    fn doubt(&self) -> Option<StalenessEvidence> {
-        self.doubts().reason(&self.listing.known.load(), self.watches(), Instant::now())
+    fn staleness_evidence(&self) -> Option<StalenessEvidence> {
+        self.staleness().reason(&self.reader.current.load(), self.is_watcher(), Instant::now())
     }
 
-    /// Time for which a node that does not watch for its zone leaves a reading to those that do.
-    fn left_to_watchers(&self) -> Duration {
-        let nodes = u32::try_from(self.listing.chooser.nodes_known()).unwrap_or(u32::MAX);
-        LEFT_TO_WATCHERS + (LEFT_TO_WATCHERS_PER_NODE * nodes).mul_f64(rand::rng().random())
+    /// Delay for which a node that does not watch for its zone leaves the read to the watchers.
+    fn non_watcher_delay(&self) -> Duration {
+        let nodes = u32::try_from(self.reader.selector.other_nodes_known()).unwrap_or(u32::MAX);
+        NON_WATCHER_DELAY + (NON_WATCHER_DELAY_PER_NODE * nodes).mul_f64(rand::rng().random())
     }
 
-    /// Reads the whole list: for the first time, where it can't be followed on, or because it is doubted.
-    async fn read_whole(&self) -> Result<u64, ControlStoreError> {
-        let held = self.listing.known.load().revision();
-        let purpose = if held == 0 { Purpose::Anew } else { Purpose::Review };
-        let read = match self.listing.read(purpose).await? {
-            Listed::ToldByPeer(revision) => return Ok(revision),
-            Listed::Whole(read) => read,
+    /// Reads the whole list: initially, when the watch can't be resumed, or when the list is suspected to be
+    /// stale.
+    async fn read_whole_list(&self) -> Result<u64, ControlStoreError> {
+        let held = self.reader.current.load().revision();
+        let purpose = if held == 0 { ReadPurpose::Initial } else { ReadPurpose::Reread };
+        let read = match self.reader.read(purpose).await? {
+            ListRead::FromPeer(revision) => return Ok(revision),
+            ListRead::Whole(read) => read,
         };
         let revision = read.revision;
-        let correction = self.take(read).await;
-        if purpose == Purpose::Review {
-            self.doubts().note_reload(correction == Reconciliation::Changed, Instant::now());
-            let outcome = format!("{correction:?}");
+        let reconciliation = self.apply_list(read).await;
+        if purpose == ReadPurpose::Reread {
+            self.staleness().note_reload(reconciliation == Reconciliation::Changed, Instant::now());
+            let outcome = format!("{reconciliation:?}");
             emit(&DirectoryReviewed { outcome, held: held.to_string(), read: revision.to_string() });
         }
         Ok(revision)
     }
 
-    async fn take(&self, snapshot: DirectorySnapshot) -> Reconciliation {
+    async fn apply_list(&self, snapshot: DirectorySnapshot) -> Reconciliation {
         let reading = TakeReading { snapshot, source: SOURCE.to_owned() };
-        // The actor ends only with the node.
-        let taken = self.directory.ask(reading).await;
-        taken.map_or(Reconciliation::Outdated, |ReadingTaken(correction)| correction)
+        // The actor stops only together with the node.
+        let taken = self.directory_updates.ask(reading).await;
+        taken.map_or(Reconciliation::Outdated, |ReadingTaken(reconciliation)| reconciliation)
     }
 }
 
-fn describe(doubt: &StalenessEvidence) -> String {
-    match doubt {
+fn describe(evidence: &StalenessEvidence) -> String {
+    match evidence {
         StalenessEvidence::Unreachable(backend) => format!("unreached: {backend}"),
         StalenessEvidence::PeersDisagree(peers) => format!("peers: {peers}"),
         StalenessEvidence::StoreDisagrees => "store".to_owned(),
     }
 }
 
-/// Whether a watch may be taken up again at the revision it had reached.
+/// Whether a watch can be resumed at the last revision after this error.
 fn may_resume(error: &ControlStoreError) -> bool {
     matches!(error, ControlStoreError::Unavailable(_))
 }
