--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -82,7 +82,7 @@
 
 /// An engine whose process started at `born_ms`.
 pub fn backend_started_at(instance: &str, born_ms: u64) -> Backend {
-    let id = BackendId::of_life(&instance.into(), Some(born_ms));
+    let id = BackendId::for_generation(&instance.into(), Some(born_ms));
     Backend { id, born_ms: Some(born_ms), ..backend(instance) }
 }
 
--- a/crates/beamwall-http/src/body.rs
+++ b/crates/beamwall-http/src/body.rs
@@ -14,25 +14,25 @@
 /// The error type of streamed bodies.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body type of every response the servers give.
+/// The body type of all server responses and client requests.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Of a refused body, at most this many times the limit is read and dropped.
+/// At most this many times the size limit is read and discarded of a rejected body.
 const DISCARD_FACTOR: usize = 4;
 
 quick_error! {
     /// Why a body could not be read.
     #[derive(Debug)]
     pub enum ReadError {
-        /// The body is longer than allowed.
+        /// The body exceeds the size limit.
         TooLarge(limit_bytes: usize) {
             display("body is larger than {} bytes", limit_bytes)
         }
-        /// The sender did not finish in time.
-        TooSlow(limit: Duration) {
-            display("body was not received within {} ms", limit.as_millis())
+        /// The body was not complete within the time limit.
+        TooSlow(time_limit: Duration) {
+            display("body was not received within {} ms", time_limit.as_millis())
         }
-        /// The connection failed or the framing was broken.
+        /// The connection failed or the message framing was invalid.
         Broken(reason: String) {
             display("body could not be read: {}", reason)
         }
@@ -43,7 +43,7 @@
     match error {}
 }
 
-/// A body of known bytes.
+/// A body of known length.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
@@ -53,7 +53,7 @@
     Empty::new().map_err(never).boxed_unsync()
 }
 
-/// A JSON response.
+/// A response with `value` as its JSON body.
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
@@ -62,21 +62,21 @@
     response
 }
 
-/// Reads a whole body, refusing one that is too large or too slow.
-pub async fn read_limited<B>(body: B, limit_bytes: usize, limit: Duration) -> Result<Bytes, ReadError>
+/// Reads a whole body within a size limit and a time limit.
+pub async fn read_limited<B>(body: B, limit_bytes: usize, time_limit: Duration) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: std::fmt::Display,
 {
-    read_limited_with(body, limit_bytes, limit, |_| {}).await
+    read_limited_with(body, limit_bytes, time_limit, |_| {}).await
 }
 
-/// The same, and shows each part of the body as it comes.
+/// Reads a whole body like [`read_limited`] and passes each chunk to `on_chunk` as it arrives.
 pub async fn read_limited_with<B>(
     body: B,
     limit_bytes: usize,
-    limit: Duration,
-    see: impl FnMut(&[u8]),
+    time_limit: Duration,
+    on_chunk: impl FnMut(&[u8]),
 ) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
@@ -87,32 +87,36 @@
     }
     let mut body = body;
     if body.size_hint().lower() > limit_bytes as u64 {
-        let _ = tokio::time::timeout(limit, discard(&mut body, limit_bytes)).await;
+        let _ = tokio::time::timeout(time_limit, discard(&mut body, limit_bytes)).await;
         return Err(ReadError::TooLarge(limit_bytes));
     }
-    match tokio::time::timeout(limit, collect(body, limit_bytes, see)).await {
+    match tokio::time::timeout(time_limit, collect(body, limit_bytes, on_chunk)).await {
         Ok(result) => result,
-        Err(_) => Err(ReadError::TooSlow(limit)),
+        Err(_) => Err(ReadError::TooSlow(time_limit)),
     }
 }
 
-/// Reads on past a refused body for a while: a sender that is cut off while it sends does not get to
-/// read why it was refused.
+/// Reads and discards the rest of a rejected body, up to a limit: a sender whose connection is closed while
+/// it still sends cannot read the response that states the reason.
 async fn discard<B>(body: &mut B, limit_bytes: usize)
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
 {
-    let mut left = limit_bytes.saturating_mul(DISCARD_FACTOR);
+    let mut remaining = limit_bytes.saturating_mul(DISCARD_FACTOR);
     while let Some(Ok(frame)) = body.frame().await {
         let size = frame.data_ref().map_or(0, Bytes::len);
-        if size > left {
+        if size > remaining {
             return;
         }
-        left -= size;
+        remaining -= size;
     }
 }
 
-async fn collect<B>(mut body: B, limit_bytes: usize, mut see: impl FnMut(&[u8])) -> Result<Bytes, ReadError>
+async fn collect<B>(
+    mut body: B,
+    limit_bytes: usize,
+    mut on_chunk: impl FnMut(&[u8]),
+) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: std::fmt::Display,
@@ -122,7 +126,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| ReadError::Broken(error.to_string()))?;
         let Ok(data) = frame.into_data() else { continue };
-        see(&data);
+        on_chunk(&data);
         match first.take() {
             None if rest.is_empty() => first = Some(data),
             None => rest.extend_from_slice(&data),
--- a/crates/beamwall-http/src/pool.rs
+++ b/crates/beamwall-http/src/pool.rs
@@ -1,8 +1,8 @@
-//! Client connections, kept for reuse by address.
+//! Pool of client connections, kept for reuse by address.
 //!
-//! Two rules that a general pool does not give us: a request that was never written is told apart
-//! from one that may have been received, and a connection whose answer was not read to its end is
-//! closed and never reused, so a late answer cannot reach another request.
+//! It gives two guarantees that general connection pools lack. A request that was never written is
+//! distinguished from one that may have been received. A connection whose response was not read to the end
+//! is closed and never reused, so that a late response cannot be taken for the response to another request.
 
 use std::collections::HashMap;
 use std::io;
@@ -23,16 +23,16 @@
 use tokio::net::TcpStream;
 
 use crate::Body;
-use crate::cause::is_among_causes;
+use crate::cause::has_io_cause;
 
 /// Idle connections kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
-/// Time that sent bytes may stay unacknowledged before the connection counts as broken.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
-/// Rest after which a connection is not used again where the other side says nothing of it.
-const USUAL_REST: Duration = Duration::from_secs(60);
-/// A connection is given up this long before the other side may close it.
-const REST_MARGIN: Duration = Duration::from_millis(500);
+/// TCP_USER_TIMEOUT: time for which sent bytes may stay unacknowledged before the connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Assumed keep-alive timeout of a server that sends no `keep-alive` header.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(60);
+/// An idle connection is dropped this long before the server may close it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 quick_error! {
     /// Why a request got no response.
@@ -42,7 +42,7 @@
         Connect(address: SocketAddr, reason: String) {
             display("no connection to {}: {}", address, reason)
         }
-        /// The other side refused the connection, as where no process listens: nothing was sent.
+        /// The connection was refused, for example because no process listens: nothing was sent.
         Refused(address: SocketAddr) {
             display("no connection to {}: refused", address)
         }
@@ -50,11 +50,11 @@
         NotWritten(address: SocketAddr) {
             display("connection to {} closed before the request was written", address)
         }
-        /// The request may have been received; its answer was lost.
+        /// The request may have been received; its response was lost.
         Lost(address: SocketAddr, reason: String) {
             display("answer from {} was lost: {}", address, reason)
         }
-        /// The other side reset the connection after the request was sent.
+        /// The peer reset the connection after the request was sent.
         Reset(address: SocketAddr) {
             display("answer from {} was lost: the connection was reset", address)
         }
@@ -62,39 +62,39 @@
 }
 
 impl PoolError {
-    /// Whether it is certain that the other side received nothing.
+    /// Whether it is certain that the server received nothing of the request.
     pub fn nothing_sent(&self) -> bool {
         !matches!(self, Self::Lost(..) | Self::Reset(..))
     }
 }
 
-/// Whether a process takes connections.
+/// Whether a process accepts connections at an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It does.
+    /// A connection was opened.
     Accepts,
-    /// The machine answers, and no process listens.
+    /// The machine refused the connection: no process listens.
     Refuses,
-    /// Nothing answers.
+    /// No connection could be opened for another reason, such as a timeout.
     Silent,
 }
 
 type Sender = SendRequest<Body>;
 
-/// A connection at rest.
+/// An idle connection.
 struct IdleConnection {
     sender: Sender,
-    /// Until when the other side promises to keep it open, also while this machine is suspended.
+    /// Until when the server keeps the connection open. The time includes suspensions of this machine.
     usable_until: BootInstant,
 }
 
 type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// Connections to back ends, peers and the platform.
+/// Pool of connections to back ends, peers and the platform. Clones share the idle connections.
 #[derive(Clone)]
 pub struct Pool {
     idle: IdleConnections,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 }
 
 fn lock(idle: &IdleConnections) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
@@ -102,13 +102,13 @@
 }
 
 impl Pool {
-    /// A pool that gives up opening a connection after `connect_limit`.
-    pub fn new(connect_limit: Duration) -> Self {
-        Self { idle: Arc::default(), connect_limit }
+    /// Creates a pool that stops trying to open a connection after `connect_timeout`.
+    pub fn new(connect_timeout: Duration) -> Self {
+        Self { idle: Arc::default(), connect_timeout }
     }
 
-    /// Sends one request once. A reused connection that turns out closed before anything was
-    /// written is replaced by a new one; nothing is ever sent twice.
+    /// Sends a request at most once. A reused connection that proves to be closed before anything was
+    /// written is replaced by another one; a request that may have been written is never sent again.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -138,34 +138,34 @@
         None
     }
 
-    /// Looks whether a process takes connections at an address.
+    /// Opens a connection to find out whether a process accepts connections at `address`.
     pub async fn probe(&self, address: SocketAddr) -> Reachability {
-        match self.open(address).await {
+        match self.connect_tcp(address).await {
             Ok(_) => Reachability::Accepts,
             Err(PoolError::Refused(_)) => Reachability::Refuses,
             Err(_) => Reachability::Silent,
         }
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<TcpStream, PoolError> {
-        let failed = |reason: String| PoolError::Connect(address, reason);
-        let opened = tokio::time::timeout(self.connect_limit, TcpStream::connect(address)).await;
-        match opened.map_err(|_| failed("timed out".to_owned()))? {
+    async fn connect_tcp(&self, address: SocketAddr) -> Result<TcpStream, PoolError> {
+        let connect_error = |reason: String| PoolError::Connect(address, reason);
+        let connected = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address)).await;
+        match connected.map_err(|_| connect_error("timed out".to_owned()))? {
             Ok(stream) => Ok(stream),
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 Err(PoolError::Refused(address))
             }
-            Err(error) => Err(failed(error.to_string())),
+            Err(error) => Err(connect_error(error.to_string())),
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Sender, PoolError> {
-        let failed = |reason: String| PoolError::Connect(address, reason);
-        let stream = self.open(address).await?;
+        let connect_error = |reason: String| PoolError::Connect(address, reason);
+        let stream = self.connect_tcp(address).await?;
         let _ = stream.set_nodelay(true);
-        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let (sender, connection) =
-            http1::handshake(TokioIo::new(stream)).await.map_err(|error| failed(error.to_string()))?;
+            http1::handshake(TokioIo::new(stream)).await.map_err(|error| connect_error(error.to_string()))?;
         tokio::spawn(connection);
         Ok(sender)
     }
@@ -181,51 +181,51 @@
         }
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let lease = ConnectionLease {
+                let connection = PooledConnection {
                     idle: self.idle.clone(),
                     address,
                     sender: Some(sender),
-                    rest_limit: rest_limit(response.headers()),
+                    idle_timeout: idle_timeout(response.headers()),
                 };
-                Ok(response.map(|inner| PooledBody::new(inner, lease)))
+                Ok(response.map(|inner| PooledBody::new(inner, connection)))
             }
             Err(mut failure) => match failure.take_message() {
                 Some(unsent) => Err((PoolError::NotWritten(address), Some(unsent))),
-                None => Err((from_lost(address, &failure.into_error()), None)),
+                None => Err((lost_response(address, &failure.into_error()), None)),
             },
         }
     }
 }
 
-/// The failure of a request that was sent.
-fn from_lost(address: SocketAddr, error: &hyper::Error) -> PoolError {
-    if is_among_causes(error, &[io::ErrorKind::ConnectionReset]) {
+/// The error of a request that was sent and got no response.
+fn lost_response(address: SocketAddr, error: &hyper::Error) -> PoolError {
+    if has_io_cause(error, &[io::ErrorKind::ConnectionReset]) {
         return PoolError::Reset(address);
     }
     PoolError::Lost(address, error.to_string())
 }
 
-/// A borrowed connection. It returns to the pool only when told so; otherwise it closes.
-struct ConnectionLease {
+/// A connection taken from the pool. It is closed when dropped, unless it was returned to the pool before.
+struct PooledConnection {
     idle: IdleConnections,
     address: SocketAddr,
     sender: Option<Sender>,
-    rest_limit: Duration,
+    idle_timeout: Duration,
 }
 
-/// How long a connection may rest: a little less than the other side says that it keeps it.
-fn rest_limit(headers: &HeaderMap) -> Duration {
+/// How long a connection may stay idle: a little less than the keep-alive timeout sent by the server.
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let timeout = keep_alive.and_then(|text| {
         let parameters = text.split(',').map(str::trim);
         parameters.filter_map(|parameter| parameter.strip_prefix("timeout=")).next()?.parse().ok()
     });
-    let kept = timeout.map_or(USUAL_REST, Duration::from_secs);
-    kept.saturating_sub(REST_MARGIN)
+    let server_timeout = timeout.map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs);
+    server_timeout.saturating_sub(KEEP_ALIVE_MARGIN)
 }
 
-impl ConnectionLease {
-    fn give_back(&mut self) {
+impl PooledConnection {
+    fn return_to_pool(&mut self) {
         let Some(sender) = self.sender.take() else { return };
         if sender.is_closed() {
             return;
@@ -233,24 +233,24 @@
         let mut idle = lock(&self.idle);
         let senders = idle.entry(self.address).or_default();
         if senders.len() < MAX_IDLE_PER_ADDRESS {
-            senders.push(IdleConnection { sender, usable_until: BootInstant::now() + self.rest_limit });
+            senders.push(IdleConnection { sender, usable_until: BootInstant::now() + self.idle_timeout });
         }
     }
 }
 
-/// A response body that returns its connection to the pool when read to the end, and closes the
-/// connection when dropped earlier.
+/// A response body that returns its connection to the pool once it is read to the end, and closes the
+/// connection if it is dropped earlier.
 pub struct PooledBody {
     inner: Incoming,
-    lease: ConnectionLease,
+    connection: PooledConnection,
 }
 
 impl PooledBody {
-    fn new(inner: Incoming, mut lease: ConnectionLease) -> Self {
+    fn new(inner: Incoming, mut connection: PooledConnection) -> Self {
         if hyper::body::Body::is_end_stream(&inner) {
-            lease.give_back();
+            connection.return_to_pool();
         }
-        Self { inner, lease }
+        Self { inner, connection }
     }
 }
 
@@ -269,7 +269,7 @@
             _ => false,
         };
         if finished {
-            self.lease.give_back();
+            self.connection.return_to_pool();
         }
         polled
     }
--- a/crates/beamwall-http/src/server.rs
+++ b/crates/beamwall-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop: one task for each connection.
+//! The server's accept loop; each connection is served by its own task.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,75 +15,76 @@
 use tokio::sync::watch;
 
 use crate::Body;
-use crate::cause::is_among_causes;
+use crate::cause::has_io_cause;
 
-/// Usual time until the head of a connection's next request has come.
-const HEADER_READ_LIMIT: Duration = Duration::from_secs(10);
-/// Pause after a failed accept, for example when file descriptors run out.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Default of [`Handler::request_head_timeout`].
+const DEFAULT_REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers requests.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; failures are answers too.
+    /// Handles one request. Failures are returned as responses, too.
     fn handle(self: &Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send;
 
-    /// How long a connection may take until the head of its next request has come, rest included; asked when it is accepted.
-    fn next_head_limit(&self) -> Duration {
-        HEADER_READ_LIMIT
+    /// Time within which the head of a connection's next request must be received, idle time included. It is
+    /// read once for each connection, when the connection is accepted.
+    fn request_head_timeout(&self) -> Duration {
+        DEFAULT_REQUEST_HEAD_TIMEOUT
     }
 
-    /// Notes that a connection ended by an error. One that rested for too long is not such.
+    /// Called when a connection ends with an error. An idle timeout is not an error.
     fn connection_failed(&self, _failure: ConnectionFailure, _error: &hyper::Error) {}
 }
 
-/// Why a connection ended by an error.
+/// Which side caused a connection to end with an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// The caller closed it or broke off.
+    /// The caller closed or reset the connection.
     Caller,
-    /// The answer was broken off here.
-    Own,
-    /// Anything else.
+    /// This server aborted the response.
+    Local,
+    /// Any other error.
     Other,
 }
 
 impl ConnectionFailure {
-    /// The word used in logs and metrics.
+    /// The name used in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Caller => "caller",
-            Self::Own => "own",
+            Self::Local => "own",
             Self::Other => "other",
         }
     }
 
-    /// What an error tells; `None` of a connection that rested for too long.
-    fn of(error: &hyper::Error) -> Option<Self> {
+    /// Classifies an error; `None` for a connection that timed out while it was idle.
+    fn from_error(error: &hyper::Error) -> Option<Self> {
         if error.is_timeout() {
             return None;
         }
-        let is_callers = error.is_incomplete_message()
+        let is_caused_by_caller = error.is_incomplete_message()
             || error.is_canceled()
             || error.is_closed()
-            || is_among_causes(error, &[ErrorKind::ConnectionReset, ErrorKind::BrokenPipe]);
-        Some(match (is_callers, error.is_user()) {
+            || has_io_cause(error, &[ErrorKind::ConnectionReset, ErrorKind::BrokenPipe]);
+        Some(match (is_caused_by_caller, error.is_user()) {
             (true, _) => Self::Caller,
-            (false, true) => Self::Own,
+            (false, true) => Self::Local,
             (false, false) => Self::Other,
         })
     }
 }
 
-fn note_end<H: Handler>(handler: &H, ended: Result<(), hyper::Error>) {
-    if let Err(error) = ended
-        && let Some(failure) = ConnectionFailure::of(&error)
+fn report_failure<H: Handler>(handler: &H, result: Result<(), hyper::Error>) {
+    if let Err(error) = result
+        && let Some(failure) = ConnectionFailure::from_error(&error)
     {
         handler.connection_failed(failure, &error);
     }
 }
 
-/// Accepts connections until `stop` turns true. Open connections then finish the request they
-/// carry and close; the function returns when all have closed.
+/// Accepts connections until `stop` becomes true. Open connections then complete their current request and
+/// close; the function returns once all of them are closed.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Arc<H>, mut stop: watch::Receiver<bool>) {
     let connections = Arc::new(());
     loop {
@@ -96,7 +97,7 @@
                 let guard = connections.clone();
                 tokio::spawn(serve_connection(stream, handler.clone(), stop.clone(), guard));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     drop(listener);
@@ -109,23 +110,23 @@
     stream: TcpStream,
     handler: Arc<H>,
     mut stop: watch::Receiver<bool>,
-    _open: Arc<()>,
+    _guard: Arc<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let answering = handler.clone();
+    let service_handler = handler.clone();
     let service = service_fn(move |request| {
-        let handler = answering.clone();
+        let handler = service_handler.clone();
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(handler.next_head_limit())
+        .header_read_timeout(handler.request_head_timeout())
         .half_close(false)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        ended = connection.as_mut() => return note_end(handler.as_ref(), ended),
+        result = connection.as_mut() => return report_failure(handler.as_ref(), result),
         _ = stop.wait_for(|stopped| *stopped) => connection.as_mut().graceful_shutdown(),
     }
-    note_end(handler.as_ref(), connection.await);
+    report_failure(handler.as_ref(), connection.await);
 }
--- a/crates/beamwall-node/src/gateway/directories.rs
+++ b/crates/beamwall-node/src/gateway/directory_sync.rs
@@ -1,8 +1,9 @@
-//! How a newer list of back ends reaches the nodes that the store did not tell.
+//! Distribution of newer lists of back ends to nodes that did not receive them from the control store.
 //!
-//! A node that hears of a newer list asks one of those that hold it, and is told what changed since the one that it holds,
-//! or all where that is not known any more. Whole lists are given at the pace of the link: a node that gives many sends
-//! further ones away, which by then find another node that holds the list. Changes are short and never wait.
+//! A node that learns of a newer list requests it from one of the peers that hold it, and receives the
+//! changes since its own revision, or the whole list when that revision is no longer in the history. Whole
+//! lists are paced by the link: a node that sends many of them turns further requesters away, which by then
+//! find another holder. Changes are short and never wait.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,35 +16,35 @@
 use tokio::time::Instant;
 
 use crate::actors::directory::{ApplyTold, TakeSnapshot};
-use crate::gateway::directory_wire::{self, ToldDirectory};
-use crate::gateway::exchange::{ANSWER_LIMIT, Exchange, OWN_WATCH_TIME};
-use crate::gateway::heard_versions::{pause_for_busy, to_busy_ms};
+use crate::gateway::directory_wire::{self, DirectoryUpdate};
+use crate::gateway::exchange::{ANSWER_TIMEOUT, PeerExchange, WATCH_HEAD_START};
+use crate::gateway::peer_versions::{pause_for_busy, to_busy_ms};
 use crate::gateway::watches::{BACKENDS, WATCHERS_PER_ZONE};
 
-impl Exchange {
-    /// What a peer lacks of the list held here, or when to ask again.
+impl PeerExchange {
+    /// Answers a peer with the changes since its revision, the whole list, or the time after which to ask
+    /// again.
     pub(super) fn answer_directory(&self, request: DirectoryRequest) -> DirectoryAnswer {
         let directory = self.directory.load();
-        // A build that reads JSON only reads no changes, and tells no revision that it holds.
+        // Builds that read JSON only can't read changes, and send no revision of their own.
         let may_read_whole_only = request.held_revision == 0 && !request.reads_names;
         let changes = directory.changes_since(request.held_revision).filter(|_| !may_read_whole_only);
         if let Some(changes) = changes {
-            return directory_wire::encode(&ToldDirectory::Changes(changes));
+            return directory_wire::encode(&DirectoryUpdate::Changes(changes));
         }
-        let whole = directory_wire::encode_for(&request, &ToldDirectory::Whole(directory.snapshot()));
+        let whole = directory_wire::encode_for(&request, &DirectoryUpdate::Whole(directory.snapshot()));
         match self.transfers.admit(whole.encoded_len(), Instant::now()) {
             Ok(()) => whole,
             Err(wait) => DirectoryAnswer { busy_for_ms: to_busy_ms(wait), ..DirectoryAnswer::default() },
         }
     }
 
-    /// Takes the revision and the digest of the list that a peer holds, and asks for it where they tell of a
-    /// newer one.
-    pub(super) fn hear_directory(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
+    /// Records the revision and digest of the list that a peer holds, and fetches the list if it is newer.
+    pub(super) fn note_directory_revision(self: &Arc<Self>, peer: SocketAddr, revision: u64, digest: u64) {
         let directory = self.directory.load();
         self.gateway.forwarder.backend_state.staleness.note_peer(peer, revision, digest, Instant::now());
         let differs = digest != directory.digest();
-        if differs && self.directories.note(peer, revision, directory.revision()) {
+        if differs && self.directory_versions.note(peer, revision, directory.revision()) {
             tokio::spawn(self.clone().fetch_directory());
         }
     }
@@ -52,12 +53,12 @@
         self.directory.load().revision()
     }
 
-    /// Asks peers until this node holds the newest list told, or none that holds it answers.
+    /// Requests the list from peers until this node holds the newest reported one, or no holder answers.
     async fn fetch_directory(self: Arc<Self>) {
-        if self.chooser.is_chosen(BACKENDS, WATCHERS_PER_ZONE) {
-            tokio::time::sleep(OWN_WATCH_TIME).await;
+        if self.selector.is_selected(BACKENDS, WATCHERS_PER_ZONE) {
+            tokio::time::sleep(WATCH_HEAD_START).await;
         }
-        while let Some(peer) = self.directories.holder(self.directory_revision()) {
+        while let Some(peer) = self.directory_versions.pick_holder(self.directory_revision()) {
             let held = self.directory_revision();
             let is_taken = match self.ask_for_directory(peer, held).await {
                 Some(answer) if answer.busy_for_ms > 0 => {
@@ -67,34 +68,35 @@
                 Some(answer) => self.take_directory(peer, held, &answer).await,
                 None => false,
             };
-            // What came meanwhile is no fault of the peer: it is asked again from there.
+            // If the own list changed during the request, the peer is not at fault: the request is repeated
+            // from the new revision.
             let has_moved_on = self.directory_revision() != held;
             if !is_taken && !has_moved_on {
-                self.directories.drop_holder(peer);
+                self.directory_versions.remove_holder(peer);
             }
         }
-        self.directories.end_fetching(self.directory_revision());
+        self.directory_versions.finish_fetch(self.directory_revision());
     }
 
     async fn ask_for_directory(&self, peer: SocketAddr, held: u64) -> Option<DirectoryAnswer> {
         let question = self
             .envelope(Body::DirectoryRequest(DirectoryRequest { held_revision: held, reads_names: true }));
-        let answer = self.network.ask(peer, question, ANSWER_LIMIT).await;
+        let answer = self.network.ask(peer, question, ANSWER_TIMEOUT).await;
         match answer.map(|envelope| envelope.body) {
             Ok(Some(Body::DirectoryAnswer(answer))) => Some(answer),
             _ => None,
         }
     }
 
-    /// Takes what a peer told to a node that held the revision `held`; returns whether it was newer.
+    /// Applies a peer's answer to a request sent at revision `held`; returns whether it was newer.
     async fn take_directory(&self, peer: SocketAddr, held: u64, answer: &DirectoryAnswer) -> bool {
         let source = peer.to_string();
-        // The actor ends only with the node.
+        // The actor stops only together with the node.
         match directory_wire::decode(answer) {
-            Ok(ToldDirectory::Whole(snapshot)) => {
+            Ok(DirectoryUpdate::Whole(snapshot)) => {
                 self.directory_actor.ask(TakeSnapshot { snapshot, source }).await.unwrap_or(false)
             }
-            Ok(ToldDirectory::Changes(changes)) => {
+            Ok(DirectoryUpdate::Changes(changes)) => {
                 let offer = ApplyTold { held, changes, source };
                 self.directory_actor.ask(offer).await.unwrap_or(false)
             }
--- a/crates/beamwall-node/src/gateway/duties/capacity.rs
+++ b/crates/beamwall-node/src/gateway/duties/capacity.rs
@@ -1,4 +1,4 @@
-//! The number of back ends: the demand is followed, and what the plan wants is ordered.
+//! Capacity of services: tracks demand and orders back ends according to the scaling plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use beamwall_policy::{Service, Shared, TrafficPolicy};
 use tokio::time::Instant;
 
-use crate::gateway::duties::followed_demand::FollowedDemand;
-use crate::gateway::duties::kept::KeptDuties;
-use crate::gateway::duties::{Holding, describe};
+use crate::gateway::duties::checkpoint::DutyCheckpointer;
+use crate::gateway::duties::demand_tracker::DemandTracker;
+use crate::gateway::duties::{LeaseHold, describe};
 
-/// Time between two looks at the number of back ends.
+/// Time between two evaluations of the number of back ends.
 const SCALING_PERIOD: Duration = Duration::from_millis(500);
-/// The orders of one tenure, and when to look at them.
+/// The orders of one lease term, and when to evaluate them next.
 #[derive(Debug, Default)]
-pub(super) struct OrderTenure {
-    book: OrderTracker,
-    next_look: Option<Instant>,
-    /// Services of which it was said that their needs are not known.
-    told_unknown: BTreeSet<ServiceName>,
+pub(super) struct OrderTerm {
+    tracker: OrderTracker,
+    next_check: Option<Instant>,
+    /// Services whose unknown needs have been logged.
+    logged_unknown: BTreeSet<ServiceName>,
 }
 
-impl OrderTenure {
-    /// A tenure that goes on from what the last holder kept.
-    pub(super) fn continuing(kept: Vec<SavedOrder>) -> Self {
-        Self { book: OrderTracker::restore(kept, Instant::now()), ..Self::default() }
+impl OrderTerm {
+    /// Starts a term with the orders that the previous lease holder saved.
+    pub(super) fn resuming(saved: Vec<SavedOrder>) -> Self {
+        Self { tracker: OrderTracker::restore(saved, Instant::now()), ..Self::default() }
     }
 }
 
@@ -41,65 +41,76 @@
 pub(super) struct CapacityDuty {
     gateway: Arc<Gateway>,
     port: Arc<dyn DutyPort>,
-    kept: Arc<KeptDuties>,
-    demands: BTreeMap<ServiceName, FollowedDemand>,
+    checkpointer: Arc<DutyCheckpointer>,
+    demands: BTreeMap<ServiceName, DemandTracker>,
 }
 
 impl CapacityDuty {
-    /// A duty that has seen no demand yet.
-    pub(super) fn new(gateway: Arc<Gateway>, port: Arc<dyn DutyPort>, kept: Arc<KeptDuties>) -> Self {
-        Self { gateway, port, kept, demands: BTreeMap::new() }
+    /// Creates the duty, with no demand recorded yet.
+    pub(super) fn new(
+        gateway: Arc<Gateway>,
+        port: Arc<dyn DutyPort>,
+        checkpointer: Arc<DutyCheckpointer>,
+    ) -> Self {
+        Self { gateway, port, checkpointer, demands: BTreeMap::new() }
     }
 
-    /// Follows the demand for each service that is scaled: up at once, down slowly.
-    pub(super) fn follow_demand(&mut self) {
+    /// Updates the demand of each scaled service: increases apply at once, decreases gradually.
+    pub(super) fn observe_demand(&mut self) {
         let policy = self.gateway.policy.load();
         for service in policy.policy().services.iter().filter(|service| service.scaling.is_some()) {
-            self.demands.entry(service.name.clone()).or_default().follow(&self.gateway, &service.name);
+            self.demands.entry(service.name.clone()).or_default().update_from(&self.gateway, &service.name);
         }
     }
 
-    /// Gives the orders that are due.
-    pub(super) async fn order_due(&self, tenure: &mut OrderTenure, holding: &Holding) {
+    /// Submits the orders that are due.
+    pub(super) async fn order_due(&self, term: &mut OrderTerm, lease_hold: &LeaseHold) {
         let now = Instant::now();
-        if tenure.next_look.is_some_and(|at| now < at) {
+        if term.next_check.is_some_and(|at| now < at) {
             return;
         }
-        tenure.next_look = Some(now + SCALING_PERIOD);
-        self.tell_unknown(tenure);
+        term.next_check = Some(now + SCALING_PERIOD);
+        self.log_unknown_needs(term);
         let policy = self.gateway.policy.load_full();
         let is_settled = |service: &&Shared<Service>| {
-            let is_settled = self.demands.get(&service.name).is_some_and(FollowedDemand::is_settled);
-            is_settled || self.needs_of_predecessor(&service.name).is_some()
+            let is_settled = self.demands.get(&service.name).is_some_and(DemandTracker::is_settled);
+            is_settled || self.predecessor_needs(&service.name).is_some()
         };
-        // While a service moves to another version its numbers stay: those of both versions would count as one.
+        // While a service moves to another version its orders stay unchanged: the back ends of both versions
+        // would be counted as one.
         let rollouts = &self.gateway.forwarder.rollouts;
         let is_moving = |service: &Shared<Service>| rollouts.is_running(&service.name);
         let services = policy.policy().services.iter().filter(is_settled);
         for service in services.filter(|service| !is_moving(service)) {
             let needed = self.needed(policy.policy(), service);
-            for order in self.orders_for(service, needed, &mut tenure.book) {
-                self.give(order, needed, tenure, holding).await;
+            for order in self.orders_for(service, needed, &mut term.tracker) {
+                self.submit_order(order, needed, term, lease_hold).await;
             }
         }
-        self.kept.note_orders(tenure.book.to_saved());
+        self.checkpointer.note_orders(term.tracker.to_saved());
     }
 
-    /// Says once a tenure of each service that its back ends are kept because its needs are not known.
-    fn tell_unknown(&self, tenure: &mut OrderTenure) {
-        for (service, demand) in self.demands.iter().filter(|(_, demand)| demand.is_unknown()) {
-            if tenure.told_unknown.insert(service.clone()) {
+    /// Logs once per term each service whose back ends are kept because its needs are unknown.
+    fn log_unknown_needs(&self, term: &mut OrderTerm) {
+        for (service, demand) in self.demands.iter().filter(|(_, demand)| demand.is_demand_unknown()) {
+            if term.logged_unknown.insert(service.clone()) {
                 emit(&CapacityNotKnown { service: service.to_string(), kept: demand.floor().to_string() });
             }
         }
     }
 
-    /// Gives one order, unless it was refused a moment ago, and notes what came of it.
-    async fn give(&self, order: CapacityOrder, needed: Needed, tenure: &mut OrderTenure, holding: &Holding) {
-        if !tenure.book.may_attempt(&OrderKey::of(&order), Instant::now()) {
+    /// Submits one order, unless it failed recently, and records the result.
+    async fn submit_order(
+        &self,
+        order: CapacityOrder,
+        needed: Needed,
+        term: &mut OrderTerm,
+        lease_hold: &LeaseHold,
+    ) {
+        if !term.tracker.may_attempt(&OrderKey::of(&order), Instant::now()) {
             return;
         }
-        let Some(holder) = holding.holder() else { return };
+        let Some(holder) = lease_hold.holder() else { return };
         let result = self.port.order_capacity(&holder, &order).await;
         emit(&CapacityOrdered {
             service: order.service.to_string(),
@@ -112,18 +123,18 @@
         });
         let now = Instant::now();
         match result {
-            Ok(()) => tenure.book.record_placed(&order, now),
+            Ok(()) => term.tracker.record_placed(&order, now),
             Err(error) => {
-                let is_news = tenure.book.record_failure(&order, error == DutyError::Exhausted, now);
-                if is_news {
-                    // What can't be had is news: lasting ones stand in for it from the next look on.
-                    tenure.next_look = None;
+                let newly_exhausted = term.tracker.record_failure(&order, error == DutyError::Exhausted, now);
+                if newly_exhausted {
+                    // The exhausted supply is replaced by on-demand back ends from the next evaluation on.
+                    term.next_check = None;
                 }
             }
         }
     }
 
-    fn supply(&self, service: &Service, zone: &ZoneName, book: &OrderTracker) -> ZoneSupply {
+    fn supply(&self, service: &Service, zone: &ZoneName, tracker: &OrderTracker) -> ZoneSupply {
         let directory = self.gateway.forwarder.directory.load();
         let usable = |reclaimable: bool| {
             let in_zone = directory.usable(&service.name).filter(|backend| &backend.zone == zone);
@@ -135,43 +146,50 @@
             zone: zone.clone(),
             on_demand_usable,
             reclaimable_usable: usable(true),
-            // Where nothing is kept of what a predecessor ordered, it is known what came of it.
-            on_demand_ordered: book.last_ordered(&key(false)).unwrap_or(on_demand_usable),
-            is_exhausted: book.is_exhausted(&key(true)),
+            // Without a saved order of the predecessor, the usable back ends are the result of what it
+            // ordered.
+            on_demand_ordered: tracker.last_ordered(&key(false)).unwrap_or(on_demand_usable),
+            is_exhausted: tracker.is_exhausted(&key(true)),
         }
     }
 
-    /// Back ends that a service's work needs: while that is not known, what the last holder found; without that the floor decides.
+    /// Back ends that a service needs: while unknown, the number found by the previous lease holder; without
+    /// one, the floor decides.
     fn needed(&self, policy: &TrafficPolicy, service: &Service) -> Needed {
-        if let Some(needed) = self.needs_of_predecessor(&service.name) {
+        if let Some(needed) = self.predecessor_needs(&service.name) {
             return needed;
         }
         let Some(demand) = self.demands.get(&service.name) else { return Needed::default() };
         let needed = demand.needed(&self.gateway, policy, service).unwrap_or_default();
-        if !demand.is_unknown() {
-            self.kept.note_needs(&service.name, needed);
+        if !demand.is_demand_unknown() {
+            self.checkpointer.note_needs(&service.name, needed);
         }
         needed
     }
 
-    /// What the last holder found that a service needs, until this node knows it.
-    fn needs_of_predecessor(&self, service: &ServiceName) -> Option<Needed> {
-        let is_unknown = self.demands.get(service).is_none_or(FollowedDemand::is_unknown);
-        self.kept.taken_needs(service).filter(|_| is_unknown)
+    /// Needs of a service found by the previous lease holder, until this node knows them itself.
+    fn predecessor_needs(&self, service: &ServiceName) -> Option<Needed> {
+        let is_unknown = self.demands.get(service).is_none_or(DemandTracker::is_demand_unknown);
+        self.checkpointer.inherited_needs(service).filter(|_| is_unknown)
     }
 
-    /// Back ends that are kept because nothing is known of the needs.
+    /// Back ends that are kept because the needs of the service are unknown.
     fn floor(&self, service: &ServiceName) -> u32 {
-        match self.needs_of_predecessor(service) {
+        match self.predecessor_needs(service) {
             Some(_) => 0,
-            None => self.demands.get(service).map_or(0, FollowedDemand::floor),
+            None => self.demands.get(service).map_or(0, DemandTracker::floor),
         }
     }
 
-    fn orders_for(&self, service: &Service, needed: Needed, book: &mut OrderTracker) -> Vec<CapacityOrder> {
+    fn orders_for(
+        &self,
+        service: &Service,
+        needed: Needed,
+        tracker: &mut OrderTracker,
+    ) -> Vec<CapacityOrder> {
         let Some(limits) = &service.scaling else { return Vec::new() };
         let zones: Vec<ZoneSupply> =
-            limits.zone_prices.keys().map(|zone| self.supply(service, zone, book)).collect();
+            limits.zone_prices.keys().map(|zone| self.supply(service, zone, tracker)).collect();
         let inputs = ScalingInputs {
             service: &service.name,
             limits,
@@ -179,7 +197,7 @@
             needed,
             floor: self.floor(&service.name),
         };
-        scaling::note_usable(book.placed_mut(), inputs.service, &zones);
-        scaling::orders_due(&scaling::plan(&inputs), book.placed(), &inputs, Instant::now())
+        scaling::note_usable(tracker.placed_mut(), inputs.service, &zones);
+        scaling::orders_due(&scaling::plan(&inputs), tracker.placed(), &inputs, Instant::now())
     }
 }
--- a/crates/beamwall-node/src/gateway/duties/usage.rs
+++ b/crates/beamwall-node/src/gateway/duties/usage.rs
@@ -14,26 +14,25 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::gateway::duties::kept::KeptDuties;
-use crate::gateway::duties::{Holding, describe};
-use crate::gateway::exchange::Exchange;
-
-/// Time after a window's end until all nodes have told their counts.
-const USAGE_SETTLES: Duration = Duration::from_millis(1_700);
-/// The same in a large deployment, where counts of other zones pass through two relays.
-const USAGE_SETTLES_LARGE: Duration = Duration::from_millis(2_600);
-/// Time after a window's end for which counts of silent nodes are waited for: they may be cut off and come back.
-const USAGE_WAITS: Duration = Duration::from_millis(8_000);
-/// Time after a window's end after which it is not reported any more.
-const USAGE_FORGOTTEN: Duration = Duration::from_secs(30);
-/// Windows whose fixed counts stay in the store.
+use crate::gateway::duties::checkpoint::DutyCheckpointer;
+use crate::gateway::duties::{LeaseHold, describe};
+use crate::gateway::exchange::PeerExchange;
+
+/// Time after a window's end until all nodes have reported their counts.
+const USAGE_SETTLE_TIME: Duration = Duration::from_millis(1_700);
+/// The same in a large deployment, where the counts of other zones pass through two relays.
+const USAGE_SETTLE_TIME_LARGE: Duration = Duration::from_millis(2_600);
+/// Time after a window's end to wait for the counts of silent nodes: they may be cut off and come back.
+const SILENT_NODE_WAIT: Duration = Duration::from_millis(8_000);
+/// Time after a window's end after which it is no longer reported.
+const REPORT_DEADLINE: Duration = Duration::from_secs(30);
+/// Number of windows whose fixed counts remain in the store.
 const FIXED_WINDOWS: usize = 8;
-/// Longest time for one write.
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
-/// The object that holds fixed counts.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Key of the object that holds the fixed counts.
 const USAGE_KEY: &str = "reports/usage";
 
-/// Counts that were fixed, oldest first.
+/// Fixed counts, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct FixedUsage {
     windows: Vec<WindowCounts>,
@@ -49,7 +48,7 @@
     }
 }
 
-/// What one tenure has read, fixed and reported.
+/// Windows read, fixed and reported in one lease term.
 #[derive(Debug, Default)]
 pub(super) struct UsageProgress {
     fixed: Option<(Version, FixedUsage)>,
@@ -59,46 +58,46 @@
 /// The duty of reporting usage.
 pub(super) struct UsageDuty {
     window_length: Duration,
-    kept: Arc<KeptDuties>,
+    checkpointer: Arc<DutyCheckpointer>,
     gateway: Arc<Gateway>,
     objects: Arc<dyn VersionedObjects>,
     port: Arc<dyn DutyPort>,
-    exchange: Arc<Exchange>,
+    exchange: Arc<PeerExchange>,
 }
 
 impl UsageDuty {
-    /// A duty that goes on from what is kept.
+    /// Creates the duty, which resumes from the checkpoint.
     pub(super) fn new(
         window_length: Duration,
-        kept: Arc<KeptDuties>,
+        checkpointer: Arc<DutyCheckpointer>,
         gateway: Arc<Gateway>,
         objects: Arc<dyn VersionedObjects>,
         port: Arc<dyn DutyPort>,
-        exchange: Arc<Exchange>,
+        exchange: Arc<PeerExchange>,
     ) -> Self {
-        Self { window_length, kept, gateway, objects, port, exchange }
+        Self { window_length, checkpointer, gateway, objects, port, exchange }
     }
 
     /// Reports the oldest window that is due, if any.
-    pub(super) async fn report_due(&self, progress: &mut UsageProgress, holding: &Holding) {
+    pub(super) async fn report_due(&self, progress: &mut UsageProgress, lease_hold: &LeaseHold) {
         if progress.fixed.is_none() {
             self.read_fixed(progress).await;
         }
         let Some((_, fixed)) = &progress.fixed else { return };
-        let done = self.done(progress.reported_through, fixed);
-        self.kept.note_first_open_window(done.first_open());
-        let Some(due) = self.due_window(&done, fixed) else { return };
+        let window_progress = self.window_progress(progress.reported_through, fixed);
+        self.checkpointer.note_first_open_window(window_progress.first_open());
+        let Some(due) = self.due_window(&window_progress, fixed) else { return };
         let Some(counts) = self.fix(progress, due).await else { return };
-        let Some(holder) = holding.holder() else { return };
+        let Some(holder) = lease_hold.holder() else { return };
         let after = self.clock().time_since_end(due, self.window_length).unwrap_or_default();
-        let unheard = self.exchange.unheard();
+        let silent_members = self.exchange.silent_members();
         let result = self.port.report_usage(&holder, &counts).await;
         emit(&UsageReported {
             window: due.to_string(),
             requests: counts.counts.values().sum::<u64>().to_string(),
             epoch: holder.epoch.to_string(),
             after_ms: after.as_millis().to_string(),
-            unheard: unheard.to_string(),
+            unheard: silent_members.to_string(),
             result: describe(&result),
         });
         if !matches!(result, Err(DutyError::Unanswered(_))) {
@@ -106,33 +105,38 @@
         }
     }
 
-    fn done(&self, reported_through: Option<u64>, fixed: &FixedUsage) -> WindowProgress {
+    fn window_progress(&self, reported_through: Option<u64>, fixed: &FixedUsage) -> WindowProgress {
         WindowProgress {
             reported_through,
             newest_fixed: fixed.newest(),
-            first: self.kept.first_open_window(),
+            first: self.checkpointer.first_open_window(),
         }
     }
 
-    fn due_window(&self, done: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
+    fn due_window(&self, window_progress: &WindowProgress, fixed: &FixedUsage) -> Option<u64> {
         let timing = UsageTiming {
             window: self.window_length,
-            settle_delay: if self.exchange.is_large() { USAGE_SETTLES_LARGE } else { USAGE_SETTLES },
-            silent_node_wait: USAGE_WAITS,
-            max_age: USAGE_FORGOTTEN,
+            settle_delay: if self.exchange.is_large_deployment() {
+                USAGE_SETTLE_TIME_LARGE
+            } else {
+                USAGE_SETTLE_TIME
+            },
+            silent_node_wait: SILENT_NODE_WAIT,
+            max_age: REPORT_DEADLINE,
         };
-        let is_complete = self.exchange.unheard() == 0;
-        done.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
+        let is_complete = self.exchange.silent_members() == 0;
+        window_progress.due(&self.clock(), &timing, is_complete, |window| fixed.get(window).is_some())
     }
 
     fn clock(&self) -> WindowClock {
         let now = self.gateway.forwarder.clock.now();
-        let (current, passed) = self.gateway.forwarder.usage.window_at(now);
-        WindowClock { current, elapsed: passed }
+        let (current, elapsed) = self.gateway.forwarder.usage.window_at(now);
+        WindowClock { current, elapsed }
     }
 
-    /// Reads what was fixed. Where another writer has taken its place, it is not known which windows were reported, so none that
-    /// has ended is: other counts might differ from those that somebody reported.
+    /// Reads the fixed counts. If another writer has overwritten them, it is unknown which windows were
+    /// reported, so no window that has ended is reported: its counts might differ from those already
+    /// reported.
     async fn read_fixed(&self, progress: &mut UsageProgress) {
         match self.objects.get(USAGE_KEY).await {
             Ok(None) => progress.fixed = Some((ABSENT, FixedUsage::default())),
@@ -140,18 +144,19 @@
                 let fixed = serde_json::from_slice(&object.value).unwrap_or_else(|error| {
                     emit(&FixedUsageUnreadable { reason: format!("{error}") });
                     let ended = self.clock().current.saturating_sub(1);
-                    progress.reported_through =
-                        Some(progress.reported_through.map_or(ended, |done| done.max(ended)));
+                    progress.reported_through = Some(
+                        progress.reported_through.map_or(ended, |last_reported| last_reported.max(ended)),
+                    );
                     FixedUsage::default()
                 });
                 progress.fixed = Some((object.version, fixed));
             }
-            // The store is away: `StoreStatus` tells of it, and the next look reads again.
+            // The store is unavailable: `StoreStatus` logs it, and the next check reads again.
             Err(_) => {}
         }
     }
 
-    /// The counts of a window as fixed in the store; fixes this node's if none are.
+    /// Returns the counts of a window as fixed in the store; fixes this node's counts if there are none.
     async fn fix(&self, progress: &mut UsageProgress, window: u64) -> Option<WindowCounts> {
         let (version, fixed) = progress.fixed.clone()?;
         if let Some(counts) = fixed.get(window) {
@@ -163,21 +168,22 @@
         let surplus = next.windows.len().saturating_sub(FIXED_WINDOWS);
         next.windows.drain(..surplus);
         let value = serde_json::to_vec(&next).ok()?;
-        let mine = |object: &Object| parse_fixed(object).get(window) == Some(&counts);
-        let deadline = Instant::now() + WRITE_LIMIT;
+        let is_own_write = |object: &Object| parse_fixed(object).get(window) == Some(&counts);
+        let deadline = Instant::now() + WRITE_TIMEOUT;
         let bytes = Bytes::from(value);
-        let written = put_settled(self.objects.as_ref(), USAGE_KEY, version, bytes, deadline, mine).await;
+        let written =
+            put_settled(self.objects.as_ref(), USAGE_KEY, version, bytes, deadline, is_own_write).await;
         match written {
             Ok(Settled::Written(version)) => {
                 progress.fixed = Some((version, next));
                 Some(counts)
             }
             Ok(Settled::Found(object)) => {
-                // Another holder may have fixed more windows since.
+                // Another lease holder may have fixed more windows since.
                 progress.fixed = Some((object.version, parse_fixed(&object)));
                 Some(counts)
             }
-            // Another holder wrote, or it is not known: read before the next try.
+            // Another lease holder wrote, or the result is unknown: read again before the next attempt.
             Ok(Settled::Lost) | Err(_) => {
                 progress.fixed = None;
                 None
--- a/crates/beamwall-node/src/gateway/gauges.rs
+++ b/crates/beamwall-node/src/gateway/gauges.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes and holds, as gauges that are read when metrics are fetched.
+//! Gauges of the state of a gateway, updated when metrics are scraped.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -7,7 +7,7 @@
 use beamwall_peer::MemberState;
 use prometheus::{GaugeVec, IntGauge, Opts, Registry};
 
-use crate::gateway::exchange::Exchange;
+use crate::gateway::exchange::PeerExchange;
 use crate::gateway::readiness::Readiness;
 use crate::metrics::gauge;
 
@@ -122,15 +122,15 @@
         })
     }
 
-    /// Sets all gauges to what holds now.
-    pub fn refresh(&self, gateway: &Arc<Gateway>, exchange: &Exchange, readiness: &Readiness) {
+    /// Sets all gauges to the current values.
+    pub fn refresh(&self, gateway: &Arc<Gateway>, exchange: &PeerExchange, readiness: &Readiness) {
         let directory = gateway.forwarder.directory.load();
         let draining = directory.backends().filter(|backend| backend.draining).count();
         let view = exchange.members.load();
         let alive = view.members.iter().filter(|member| member.state == MemberState::Alive).count();
         self.policy_version.set(gateway.policy.load().version() as i64);
-        let (told, behind) = exchange.policies.told();
-        self.policy_version_told.set(told as i64);
+        let (newest, behind) = exchange.policies.newest_reported();
+        self.policy_version_told.set(newest as i64);
         self.policy_behind_ms.set(behind.as_millis() as i64);
         self.directory_revision.set(directory.revision() as i64);
         self.backends_usable.set((directory.backends().count() - draining) as i64);
@@ -148,11 +148,12 @@
         for (kind, bytes) in traffic.sent_bytes_by_kind() {
             self.peer_sent_bytes_by_kind.with_label_values(&[kind]).set(bytes as f64);
         }
-        let book = &gateway.forwarder.quarantine.book;
-        self.requests_held.set(book.held().len() as i64);
-        self.requests_suspected.set(book.suspects() as i64);
-        self.peers_ended_abruptly.set(exchange.peer_lives.ended_abruptly() as i64);
-        // Accounts are opened with the next heartbeat after a policy; what is read here is complete before it, too.
+        let quarantine_registry = &gateway.forwarder.quarantine.registry;
+        self.requests_held.set(quarantine_registry.held().len() as i64);
+        self.requests_suspected.set(quarantine_registry.suspects() as i64);
+        self.peers_ended_abruptly.set(exchange.peer_restarts.ended_abruptly() as i64);
+        // New quota accounts are otherwise opened with the heartbeat after a policy change; a scrape before
+        // it shows them too.
         exchange.share_limits();
         self.refresh_limits(gateway);
         self.refresh_models(gateway);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Tenants and services that are gone keep no value.
+    /// Sets the gauges of quotas and retry budgets; removed tenants and services lose their series.
     fn refresh_limits(&self, gateway: &Gateway) {
         self.nodes_heard.set(gateway.quotas.membership().reachable as i64);
         self.quota_level.reset();
@@ -177,8 +178,8 @@
             self.quota_level.with_label_values(&[tenant.as_str()]).set(level);
         }
         self.retries_left.reset();
-        for (service, left) in gateway.forwarder.retries.available_retries() {
-            self.retries_left.with_label_values(&[service.as_str()]).set(left);
+        for (service, available) in gateway.forwarder.retries.available_retries() {
+            self.retries_left.with_label_values(&[service.as_str()]).set(available);
         }
     }
 }
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -1,4 +1,4 @@
-//! Rollouts in the form of messages.
+//! Conversion of rollouts to and from messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     }
 }
 
-/// What is told of rollouts; `None` where there are none.
+/// Encodes the rollouts; `None` if there are none.
 pub fn encode(
     orders: Vec<OrderUpdate>,
     stages: Vec<StageUpdate>,
@@ -53,26 +53,26 @@
     })
 }
 
-fn encode_order(news: &OrderUpdate) -> OrderMessage {
+fn encode_order(rollout_update: &OrderUpdate) -> OrderMessage {
     OrderMessage {
-        id: encode_id(&news.order.id),
-        interval_ms: to_ms(news.order.interval),
-        revision: news.revision,
-        age_ms: to_ms(news.age),
-        verdict: encode_verdict(news.verdict),
-        is_withdrawn: news.is_withdrawn,
+        id: encode_id(&rollout_update.order.id),
+        interval_ms: to_ms(rollout_update.order.interval),
+        revision: rollout_update.revision,
+        age_ms: to_ms(rollout_update.age),
+        verdict: encode_verdict(rollout_update.verdict),
+        is_withdrawn: rollout_update.is_withdrawn,
     }
 }
 
-fn encode_stage(news: &StageUpdate) -> StageMessage {
+fn encode_stage(rollout_update: &StageUpdate) -> StageMessage {
     StageMessage {
-        id: encode_id(&news.order),
-        epoch: news.sequence.0,
-        number: news.sequence.1,
-        share: news.stage.share,
-        back_ends: news.stage.back_ends as u64,
-        takes_all_in_ms: news.stage.takes_all_in.map(to_ms),
-        age_ms: to_ms(news.age),
+        id: encode_id(&rollout_update.order),
+        epoch: rollout_update.sequence.0,
+        number: rollout_update.sequence.1,
+        share: rollout_update.stage.share,
+        back_ends: rollout_update.stage.back_ends as u64,
+        takes_all_in_ms: rollout_update.stage.takes_all_in.map(to_ms),
+        age_ms: to_ms(rollout_update.age),
     }
 }
 
@@ -98,7 +98,7 @@
     counts.iter().map(row).collect()
 }
 
-/// The sums that builds read which do not tell the old version's back ends apart.
+/// Sums by route for builds that do not distinguish the back ends of the old version.
 fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<AnswerCountsMessage> {
     let mut sums: BTreeMap<&str, AnswerCounts> = BTreeMap::new();
     for ((route, _), counts) in counts {
@@ -113,56 +113,57 @@
     sums.into_iter().map(row).collect()
 }
 
-/// Orders as heard.
-pub fn decode_orders(news: &RolloutUpdate) -> Vec<OrderUpdate> {
-    let decode = |told: &OrderMessage| {
+/// Decodes orders.
+pub fn decode_orders(update: &RolloutUpdate) -> Vec<OrderUpdate> {
+    let decode = |wire_entry: &OrderMessage| {
         Some(OrderUpdate {
             order: RolloutOrder {
-                id: decode_id(told.id.as_ref())?,
-                interval: Duration::from_millis(told.interval_ms),
+                id: decode_id(wire_entry.id.as_ref())?,
+                interval: Duration::from_millis(wire_entry.interval_ms),
             },
-            revision: told.revision,
-            age: Duration::from_millis(told.age_ms),
-            verdict: decode_verdict(told.verdict),
-            is_withdrawn: told.is_withdrawn,
+            revision: wire_entry.revision,
+            age: Duration::from_millis(wire_entry.age_ms),
+            verdict: decode_verdict(wire_entry.verdict),
+            is_withdrawn: wire_entry.is_withdrawn,
         })
     };
-    news.orders.iter().filter_map(decode).collect()
+    update.orders.iter().filter_map(decode).collect()
 }
 
-/// Stages as heard.
-pub fn decode_stages(news: &RolloutUpdate) -> Vec<StageUpdate> {
-    let decode = |told: &StageMessage| {
+/// Decodes stages.
+pub fn decode_stages(update: &RolloutUpdate) -> Vec<StageUpdate> {
+    let decode = |wire_entry: &StageMessage| {
         Some(StageUpdate {
-            order: decode_id(told.id.as_ref())?,
-            sequence: (told.epoch, told.number),
+            order: decode_id(wire_entry.id.as_ref())?,
+            sequence: (wire_entry.epoch, wire_entry.number),
             stage: Stage {
-                share: told.share.clamp(0.0, 1.0),
-                back_ends: usize::try_from(told.back_ends).unwrap_or(usize::MAX),
-                takes_all_in: told.takes_all_in_ms.map(Duration::from_millis),
+                share: wire_entry.share.clamp(0.0, 1.0),
+                back_ends: usize::try_from(wire_entry.back_ends).unwrap_or(usize::MAX),
+                takes_all_in: wire_entry.takes_all_in_ms.map(Duration::from_millis),
             },
-            age: Duration::from_millis(told.age_ms),
+            age: Duration::from_millis(wire_entry.age_ms),
         })
     };
-    news.stages.iter().filter_map(decode).collect()
+    update.stages.iter().filter_map(decode).collect()
 }
 
-/// What others counted. Builds that do not tell the old version's back ends apart tell their sums: these stand as those of one
-/// back end without a name.
-pub fn decode_evidence(news: &RolloutUpdate) -> Vec<(OrderId, Evidence)> {
-    let decode = |told: &EvidenceMessage| {
+/// Decodes evidence. Builds that do not distinguish the back ends of the old version send sums by route,
+/// which are counted as one back end with an empty name.
+pub fn decode_evidence(update: &RolloutUpdate) -> Vec<(OrderId, Evidence)> {
+    let decode = |wire_entry: &EvidenceMessage| {
         let (sums, of_new): (Vec<&AnswerCountsMessage>, Vec<&AnswerCountsMessage>) =
-            told.answers.iter().partition(|row| row.back_end.is_empty());
-        let of_old = if told.old_answers.is_empty() { sums } else { told.old_answers.iter().collect() };
+            wire_entry.answers.iter().partition(|row| row.back_end.is_empty());
+        let of_old =
+            if wire_entry.old_answers.is_empty() { sums } else { wire_entry.old_answers.iter().collect() };
         let evidence = Evidence {
-            requests: told.requests,
-            exposed: told.exposed,
+            requests: wire_entry.requests,
+            exposed: wire_entry.exposed,
             old: decode_counts(of_old),
             new: decode_counts(of_new),
         };
-        Some((decode_id(told.id.as_ref())?, evidence))
+        Some((decode_id(wire_entry.id.as_ref())?, evidence))
     };
-    news.evidence.iter().filter_map(decode).collect()
+    update.evidence.iter().filter_map(decode).collect()
 }
 
 fn decode_counts(rows: Vec<&AnswerCountsMessage>) -> CountsByBackEnd {
--- a/crates/beamwall-node/src/gateway/store_status.rs
+++ b/crates/beamwall-node/src/gateway/store_status.rs
@@ -1,4 +1,4 @@
-//! Whether the store of decisions answers this node.
+//! Availability of the control store, as seen by this node.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,10 +10,10 @@
 use prometheus::{IntCounterVec, Opts, Registry};
 use tokio::time::Instant;
 
-/// Failed calls in a row after which the store counts as lost: single watches may be cut.
-const FAILURES_TO_LOSE: u32 = 2;
+/// Consecutive failed calls after which the store counts as lost: a single watch may be cut.
+const LOST_AFTER_FAILURES: u32 = 2;
 
-/// What the calls about one subject came to.
+/// Outcome of the calls for one subject.
 #[derive(Debug, Default)]
 struct Subject {
     has_answered: bool,
@@ -25,11 +25,11 @@
 
 impl Subject {
     fn is_lost(&self) -> bool {
-        self.failures_in_a_row >= FAILURES_TO_LOSE
+        self.failures_in_a_row >= LOST_AFTER_FAILURES
     }
 }
 
-/// Whether the store of decisions answers this node.
+/// Availability of the control store.
 #[derive(Debug)]
 pub struct StoreStatus {
     calls: IntCounterVec,
@@ -38,7 +38,7 @@
 }
 
 impl StoreStatus {
-    /// A store that has not been called yet; its calls are counted among the metrics.
+    /// Starts without any calls made; registers the counter of calls.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let name =
             Opts::new("beamwall_gateway_store_calls_total", "calls to the store by subject and outcome");
@@ -51,11 +51,11 @@
         self.subjects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes an answer to a call about `what`.
-    pub fn note_answer(&self, what: &str) {
-        self.calls.with_label_values(&[what, "answered"]).inc();
+    /// Records a successful call for `subject_name`.
+    pub fn note_answer(&self, subject_name: &str) {
+        self.calls.with_label_values(&[subject_name, "answered"]).inc();
         let mut subjects = self.lock();
-        let subject = subjects.entry(what.to_owned()).or_default();
+        let subject = subjects.entry(subject_name.to_owned()).or_default();
         let was_lost = subject.is_lost();
         subject.has_answered = true;
         subject.failures_in_a_row = 0;
@@ -63,32 +63,32 @@
         if let Some(since) = failing_since.filter(|_| was_lost) {
             subject.regained = Some(Instant::now());
             let away_ms = since.elapsed().as_millis().to_string();
-            emit(&ControlStoreRegained { what: what.to_owned(), away_ms });
+            emit(&ControlStoreRegained { what: subject_name.to_owned(), away_ms });
         }
     }
 
-    /// Notes a call about `what` that failed.
-    pub fn note_failure(&self, what: &str, reason: &str) {
-        self.calls.with_label_values(&[what, "failed"]).inc();
+    /// Records a failed call for `subject_name`.
+    pub fn note_failure(&self, subject_name: &str, reason: &str) {
+        self.calls.with_label_values(&[subject_name, "failed"]).inc();
         self.has_failed.store(true, Ordering::Relaxed);
         let mut subjects = self.lock();
-        let subject = subjects.entry(what.to_owned()).or_default();
+        let subject = subjects.entry(subject_name.to_owned()).or_default();
         subject.failures_in_a_row += 1;
         subject.failing_since.get_or_insert_with(Instant::now);
-        if subject.failures_in_a_row == FAILURES_TO_LOSE {
-            emit(&ControlStoreLost { what: what.to_owned(), reason: reason.to_owned() });
+        if subject.failures_in_a_row == LOST_AFTER_FAILURES {
+            emit(&ControlStoreLost { what: subject_name.to_owned(), reason: reason.to_owned() });
         }
     }
 
-    /// Whether the store is lost to this node, or was `ago` at most.
-    pub fn was_away(&self, what: &str, ago: Duration) -> bool {
+    /// Whether the store is lost for `subject_name`, or came back no longer than `ago` before.
+    pub fn was_unavailable(&self, subject_name: &str, ago: Duration) -> bool {
         let subjects = self.lock();
-        let Some(subject) = subjects.get(what) else { return false };
+        let Some(subject) = subjects.get(subject_name) else { return false };
         subject.is_lost() || subject.regained.is_some_and(|at| at.elapsed() <= ago)
     }
 
-    /// Whether what is known here is the newest that can be had: the store has told all `subjects`, or
-    /// it has failed, and then what peers tell is as good as it gets.
+    /// Whether the state of this node is the newest available: the store has answered for all `subjects`, or
+    /// it has failed, and the state received from peers is the best that can be had.
     pub fn has_settled(&self, subjects: &[&str]) -> bool {
         let known = self.lock();
         let has_answered = |subject: &&str| known.get(*subject).is_some_and(|known| known.has_answered);
--- a/crates/beamwall-store/src/object.rs
+++ b/crates/beamwall-store/src/object.rs
@@ -1,4 +1,4 @@
-//! The object API port: versioned objects, conditional writes and watches.
+//! Client of the object API: versioned objects, conditional writes and watches.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,29 +13,29 @@
 use crate::budget::CallBudget;
 use crate::object_wire;
 
-/// Versions of one object rise with every write; an object that does not exist has version 0.
+/// Version of an object. It increases with every write; an object that does not exist has version 0.
 pub type Version = u64;
 
-/// The version that a conditional write names to create an object.
+/// The expected version of a conditional write that creates an object.
 pub const ABSENT: Version = 0;
 
 quick_error! {
     /// Why a call to the object API failed.
     #[derive(Debug)]
     pub enum ObjectError {
-        /// The object has another version than the write named; the write did not take effect.
+        /// The object does not have the expected version; the write did not take effect.
         Conflict(current: Version) {
             display("object has version {}", current)
         }
-        /// The platform refused the call before acting on it, or could not be reached.
+        /// The platform rejected the call before executing it, or could not be reached.
         Unavailable(reason: String) {
             display("platform unavailable: {}", reason)
         }
-        /// The call was sent and its answer lost: a write may have taken effect.
+        /// The call was sent and its response was lost: a write may have taken effect.
         Ambiguous(reason: String) {
             display("answer from the platform was lost: {}", reason)
         }
-        /// The platform answered in a way this client does not know.
+        /// The platform sent a response that this client does not understand.
         Unexpected(reason: String) {
             display("unexpected answer from the platform: {}", reason)
         }
@@ -52,32 +52,32 @@
     }
 }
 
-/// An object as read.
+/// An object as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
     /// The key.
     pub key: String,
-    /// The version read.
+    /// The version at the time of the read.
     pub version: Version,
     /// The value.
     pub value: Bytes,
 }
 
-/// What a watch saw.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WatchAnswer {
-    /// Pass this to the next watch.
+pub struct WatchResponse {
+    /// Sequence number to pass to the next watch.
     pub sequence: u64,
-    /// Keys that changed.
+    /// Keys of the objects that changed.
     pub changed: Vec<String>,
 }
 
-/// Versioned objects with conditional writes: what leases and settled writes need of a store.
+/// A store of versioned objects with conditional writes, as leases and settled writes need it.
 #[async_trait]
 pub trait VersionedObjects: Send + Sync + 'static {
     /// Reads an object; `None` when it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Object>, ObjectError>;
-    /// Writes an object if it has the version named; [`ABSENT`] creates it.
+    /// Writes an object if it has the version `expected`; [`ABSENT`] creates it.
     async fn put(&self, key: &str, expected: Version, value: Bytes) -> Result<Version, ObjectError>;
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Client of the object API. Cloning shares the budget and the health mark.
+/// Client of the object API. Clones share the call budget and the health flag.
 #[derive(Clone)]
 pub struct ObjectStore {
     client: JsonClient,
@@ -101,70 +101,71 @@
 }
 
 impl ObjectStore {
-    /// A client within a budget.
+    /// Creates a client whose calls are limited by `budget`.
     pub fn new(client: JsonClient, budget: Arc<CallBudget>) -> Self {
         Self { client, budget, healthy: Arc::new(AtomicBool::new(true)) }
     }
 
-    /// Whether the last call was answered.
+    /// Whether the last call got a response other than 503 (Service Unavailable).
     pub fn healthy(&self) -> bool {
         self.healthy.load(Ordering::Relaxed)
     }
 
-    /// The budget, for metrics.
+    /// The call budget, for metrics.
     pub fn budget(&self) -> &CallBudget {
         &self.budget
     }
 
     /// Reads an object; `None` when it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Object>, ObjectError> {
-        let answer =
+        let response =
             self.call(&self.client, Method::GET, &object_wire::object_path(key), Bytes::new()).await?;
-        match answer.status {
+        match response.status {
             StatusCode::NOT_FOUND => Ok(None),
-            StatusCode::OK => object_wire::read_object(key, &answer.body).map(Some),
-            _ => Err(object_wire::read_failure(&answer)),
+            StatusCode::OK => object_wire::read_object(key, &response.body).map(Some),
+            _ => Err(object_wire::read_error(&response)),
         }
     }
 
-    /// Writes an object if it has the version named; [`ABSENT`] creates it.
+    /// Writes an object if it has the version `expected`; [`ABSENT`] creates it.
     pub async fn put(&self, key: &str, expected: Version, value: Bytes) -> Result<Version, ObjectError> {
         let path = object_wire::conditional_path(key, expected);
-        let answer = self.call(&self.client, Method::PUT, &path, value).await?;
-        object_wire::read_version(&answer)
+        let response = self.call(&self.client, Method::PUT, &path, value).await?;
+        object_wire::read_version(&response)
     }
 
-    /// Deletes an object if it has the version named.
+    /// Deletes an object if it has the expected version.
     pub async fn delete(&self, key: &str, expected: Version) -> Result<(), ObjectError> {
         let path = object_wire::conditional_path(key, expected);
-        let answer = self.call(&self.client, Method::DELETE, &path, Bytes::new()).await?;
-        object_wire::read_version(&answer).map(|_| ())
+        let response = self.call(&self.client, Method::DELETE, &path, Bytes::new()).await?;
+        object_wire::read_version(&response).map(|_| ())
     }
 
     /// Reads all objects whose key starts with `prefix`.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Object>, ObjectError> {
-        let answer =
+        let response =
             self.call(&self.client, Method::GET, &object_wire::list_path(prefix), Bytes::new()).await?;
-        if answer.status != StatusCode::OK {
-            return Err(object_wire::read_failure(&answer));
+        if response.status != StatusCode::OK {
+            return Err(object_wire::read_error(&response));
         }
-        object_wire::read_list(&answer.body)
+        object_wire::read_list(&response.body)
     }
 
-    /// Waits up to `wait` for a change after `sequence` to keys that start with `prefix`.
+    /// Waits up to `wait` for a change with a sequence number above `sequence` to a key that starts with
+    /// `prefix`.
     pub async fn watch(
         &self,
         prefix: &str,
         sequence: u64,
         wait: Duration,
-    ) -> Result<WatchAnswer, ObjectError> {
+    ) -> Result<WatchResponse, ObjectError> {
         let path = object_wire::watch_path(prefix, sequence, wait);
-        let client = self.client.clone().with_limit(wait + Duration::from_secs(2));
-        let answer = self.call(&client, Method::GET, &path, Bytes::new()).await?;
-        if answer.status != StatusCode::OK {
-            return Err(object_wire::read_failure(&answer));
+        let client = self.client.clone().with_timeout(wait + Duration::from_secs(2));
+        let response = self.call(&client, Method::GET, &path, Bytes::new()).await?;
+        if response.status != StatusCode::OK {
+            return Err(object_wire::read_error(&response));
         }
-        object_wire::read_watch(&answer.body)
+        object_wire::read_watch(&response.body)
     }
 
     async fn call(
@@ -173,21 +174,22 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<beamwall_http::client::Answer, ObjectError> {
+    ) -> Result<beamwall_http::client::ClientResponse, ObjectError> {
         let is_write = method != Method::GET;
         if is_write {
-            self.budget.take_write().await;
+            self.budget.acquire_write().await;
         } else {
-            self.budget.take().await;
+            self.budget.acquire().await;
         }
         let result = client.call(method, path, body).await;
-        if let Ok(answer) = &result
+        if let Ok(response) = &result
             && is_write
         {
-            self.budget.note_write(answer.status != StatusCode::TOO_MANY_REQUESTS).await;
+            self.budget.record_write(response.status != StatusCode::TOO_MANY_REQUESTS).await;
         }
-        let answered = matches!(&result, Ok(answer) if answer.status != StatusCode::SERVICE_UNAVAILABLE);
-        self.healthy.store(answered, Ordering::Relaxed);
+        let is_available =
+            matches!(&result, Ok(response) if response.status != StatusCode::SERVICE_UNAVAILABLE);
+        self.healthy.store(is_available, Ordering::Relaxed);
         Ok(result?)
     }
 }
