--- a/crates/beamwall-gateway/src/handler.rs
+++ b/crates/beamwall-gateway/src/handler.rs
@@ -85,7 +85,7 @@
     }
 
     /// The operator's limits, since callers reuse connections that have been idle for almost as long.
-    fn next_head_limit(&self) -> Duration {
+    fn request_head_timeout(&self) -> Duration {
         let policy = self.gateway.policy.load();
         let limits = &policy.policy().caller_limits;
         Duration::from_millis(limits.idle_ms.max(limits.head_ms))
@@ -171,7 +171,7 @@
         received: Instant,
         context: &mut ResponseLogContext,
     ) -> Result<Response<Body>, Refusal> {
-        let suspended_before = beamwall_clock::asleep();
+        let suspended_before = beamwall_clock::suspended_time();
         if policy.version() == 0 {
             return Err(Refusal::NotReady);
         }
--- a/crates/beamwall-gateway/src/retries.rs
+++ b/crates/beamwall-gateway/src/retries.rs
@@ -52,7 +52,7 @@
     fn update_saved_limit(&mut self, allowance: &RetryAllowance, nodes: usize, now: Instant) {
         let recent = self.recent.count(now, allowance.window);
         let share = f64::from(recent) * f64::from(allowance.saved_percent) / 100.0;
-        self.budget.set_most_saved(share + allowance.extra / nodes as f64);
+        self.budget.set_capacity(share + allowance.extra / nodes as f64);
     }
 }
 
@@ -105,8 +105,10 @@
         let mut state = self.lock();
         let State { nodes, services } = &mut *state;
         let node_share = self.allowance.extra / *nodes as f64;
-        let new =
-            || ServiceRetries { budget: RetryBudget::saving(node_share), recent: RecentRequests::default() };
+        let new = || ServiceRetries {
+            budget: RetryBudget::with_capacity(node_share),
+            recent: RecentRequests::default(),
+        };
         let retries = services.entry(service.clone()).or_insert_with(new);
         retries.update_saved_limit(&self.allowance, *nodes, now);
         act(retries)
@@ -115,7 +117,11 @@
     /// Retries available now, by service.
     pub fn available_retries(&self) -> Vec<(ServiceName, f64)> {
         let state = self.lock();
-        state.services.iter().map(|(service, retries)| (service.clone(), retries.budget.left())).collect()
+        state
+            .services
+            .iter()
+            .map(|(service, retries)| (service.clone(), retries.budget.available_retries()))
+            .collect()
     }
 }
 
--- a/crates/beamwall-gateway/src/stream/first_event_wait.rs
+++ b/crates/beamwall-gateway/src/stream/first_event_wait.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_model::BackendId;
 use tokio::time::Instant;
 
@@ -41,7 +41,7 @@
         attempts: &Attempts,
     ) -> Self {
         let objective = Duration::from_millis(call.route.objective_ms);
-        let now = running::now();
+        let now = process_clock::now();
         let expected_ms = choice.expected_ms.unwrap_or(0.0);
         let expected = Duration::from_secs_f64(expected_ms.max(0.0) / 1_000.0) * EXPECTED_TIME_MULTIPLE;
         Self {
@@ -58,9 +58,9 @@
         if !self.can_fail_over {
             return std::future::pending().await;
         }
-        running::sleep(self.soft_deadline.saturating_duration_since(running::now())).await;
+        process_clock::sleep(self.soft_deadline.saturating_duration_since(process_clock::now())).await;
         while self.responded_recently() || !self.is_silence_confirmed() {
-            running::sleep(POLL_INTERVAL).await;
+            process_clock::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -69,10 +69,10 @@
     fn is_silence_confirmed(&self) -> bool {
         let is_unlisted = self.forwarder.directory.load().get(self.backend).is_none();
         let owes_events = self.forwarder.backend_state.loads.responding_requests(self.backend) > 0;
-        is_unlisted || owes_events || running::now() >= self.hard_deadline
+        is_unlisted || owes_events || process_clock::now() >= self.hard_deadline
     }
 
     fn responded_recently(&self) -> bool {
-        self.forwarder.backend_state.health.is_responsive(self.backend, running::now())
+        self.forwarder.backend_state.health.is_responsive(self.backend, process_clock::now())
     }
 }
--- a/crates/beamwall-gateway/tests/support/mod.rs
+++ b/crates/beamwall-gateway/tests/support/mod.rs
@@ -82,7 +82,7 @@
 
 /// An engine whose process started at `born_ms`.
 pub fn backend_started_at(instance: &str, born_ms: u64) -> Backend {
-    let id = BackendId::of_life(&instance.into(), Some(born_ms));
+    let id = BackendId::for_generation(&instance.into(), Some(born_ms));
     Backend { id, born_ms: Some(born_ms), ..backend(instance) }
 }
 
@@ -134,7 +134,7 @@
         prompt: Some(Prompt { prompt_tokens, output_tokens: 10, parts: Vec::new() }),
         last_event: None,
         received: now,
-        suspended_before: beamwall_clock::asleep(),
+        suspended_before: beamwall_clock::suspended_time(),
         deadline: now,
         policy_version: 1,
     }
--- a/crates/beamwall-http/src/client.rs
+++ b/crates/beamwall-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A small JSON client over the pool, for control calls between processes.
+//! A JSON client on top of the connection pool, for control calls between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,30 +13,30 @@
 use crate::body::{ReadError, full, read_limited};
 use crate::pool::{Pool, PoolError};
 
-/// Largest answer to a control call.
-const ANSWER_LIMIT_BYTES: usize = 8 << 20;
+/// Maximum size of the response body of a control call.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 quick_error! {
     /// Why a control call failed.
     #[derive(Debug)]
     pub enum ClientError {
-        /// The request did not get an answer.
+        /// No response was received.
         Transport(cause: PoolError) {
             from()
             display("{}", cause)
             source(cause)
         }
-        /// The answer could not be read.
-        Answer(cause: ReadError) {
+        /// The response body could not be read.
+        ResponseBody(cause: ReadError) {
             from()
             display("{}", cause)
             source(cause)
         }
-        /// The answer did not come in time; the call may have taken effect.
-        TimedOut(limit: Duration) {
-            display("no answer within {} ms", limit.as_millis())
+        /// The response did not arrive in time; the call may have taken effect.
+        TimedOut(call_timeout: Duration) {
+            display("no answer within {} ms", call_timeout.as_millis())
         }
-        /// The call could not be formed.
+        /// The request could not be built, or a JSON body could not be encoded or decoded.
         Malformed(reason: String) {
             display("malformed call: {}", reason)
         }
@@ -44,98 +44,98 @@
 }
 
 impl ClientError {
-    /// Whether it is certain that the other side received nothing.
+    /// Whether it is certain that the server received nothing of the call.
     pub fn nothing_sent(&self) -> bool {
         match self {
             Self::Transport(cause) => cause.nothing_sent(),
             Self::Malformed(_) => true,
-            Self::Answer(_) | Self::TimedOut(_) => false,
+            Self::ResponseBody(_) | Self::TimedOut(_) => false,
         }
     }
 }
 
-/// An answer to a control call.
+/// The response to a control call.
 #[derive(Debug, Clone)]
-pub struct Answer {
-    /// The status.
+pub struct ClientResponse {
+    /// The HTTP status.
     pub status: StatusCode,
     /// The whole body.
     pub body: Bytes,
 }
 
-impl Answer {
-    /// Reads the body as JSON.
+impl ClientResponse {
+    /// Deserializes the body from JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ClientError> {
         serde_json::from_slice(&self.body).map_err(|error| ClientError::Malformed(error.to_string()))
     }
 
-    /// The body as text, for messages.
+    /// The body as text, for use in messages.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Calls one address.
+/// Client for control calls to one address.
 #[derive(Clone)]
 pub struct JsonClient {
     pool: Pool,
     address: SocketAddr,
-    limit: Duration,
+    call_timeout: Duration,
     bearer: Option<String>,
 }
 
 impl JsonClient {
-    /// A client of `address` whose calls end after `limit`.
-    pub fn new(pool: Pool, address: SocketAddr, limit: Duration) -> Self {
-        Self { pool, address, limit, bearer: None }
+    /// Creates a client of `address` whose calls time out after `call_timeout`.
+    pub fn new(pool: Pool, address: SocketAddr, call_timeout: Duration) -> Self {
+        Self { pool, address, call_timeout, bearer: None }
     }
 
-    /// Sends `key` as bearer key with every call.
+    /// Sends `key` as bearer token with every call.
     pub fn with_bearer(mut self, key: impl Into<String>) -> Self {
         self.bearer = Some(key.into());
         self
     }
 
-    /// The same client with another time limit.
-    pub fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    /// The same client with another timeout.
+    pub fn with_timeout(mut self, call_timeout: Duration) -> Self {
+        self.call_timeout = call_timeout;
         self
     }
 
-    /// The address called.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// GET.
-    pub async fn get(&self, path: &str) -> Result<Answer, ClientError> {
+    /// Sends a GET request.
+    pub async fn get(&self, path: &str) -> Result<ClientResponse, ClientError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// POST of a JSON value.
-    pub async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<Answer, ClientError> {
+    /// Sends a POST request with `value` as its JSON body.
+    pub async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<ClientResponse, ClientError> {
         let body = serde_json::to_vec(value).map_err(|error| ClientError::Malformed(error.to_string()))?;
         self.call(Method::POST, path, Bytes::from(body)).await
     }
 
-    /// Any call.
-    pub async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, ClientError> {
+    /// Sends a request of any method.
+    pub async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<ClientResponse, ClientError> {
         self.call_with(method, path, HeaderMap::new(), body).await
     }
 
-    /// Any call with headers beside the usual.
+    /// Sends a request of any method with additional headers.
     pub async fn call_with(
         &self,
         method: Method,
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Answer, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let mut request = self.request(method, path, body)?;
         request.headers_mut().extend(headers);
-        match tokio::time::timeout(self.limit, self.exchange(request)).await {
+        match tokio::time::timeout(self.call_timeout, self.exchange(request)).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::TimedOut(self.limit)),
+            Err(_) => Err(ClientError::TimedOut(self.call_timeout)),
         }
     }
 
@@ -151,10 +151,10 @@
         builder.body(full(body)).map_err(|error| ClientError::Malformed(error.to_string()))
     }
 
-    async fn exchange(&self, request: Request<crate::Body>) -> Result<Answer, ClientError> {
+    async fn exchange(&self, request: Request<crate::Body>) -> Result<ClientResponse, ClientError> {
         let response = self.pool.send(self.address, request).await?;
         let status = response.status();
-        let body = read_limited(response.into_body(), ANSWER_LIMIT_BYTES, self.limit).await?;
-        Ok(Answer { status, body })
+        let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES, self.call_timeout).await?;
+        Ok(ClientResponse { status, body })
     }
 }
--- a/crates/beamwall-node/src/actors/directory.rs
+++ b/crates/beamwall-node/src/actors/directory.rs
@@ -43,7 +43,7 @@
 
     /// What it means that a back end is not listed any more.
     fn vanishing(&self) -> RemovalCause {
-        if self.status.was_away(BACKENDS, LAPSED_FOR) {
+        if self.status.was_unavailable(BACKENDS, LAPSED_FOR) {
             RemovalCause::MaybeExpired
         } else {
             RemovalCause::Gone
--- a/crates/beamwall-node/src/gateway/placing.rs
+++ b/crates/beamwall-node/src/gateway/peer_placement.rs
@@ -1,11 +1,11 @@
-//! Asks the nodes that place model requests for all, and answers as one of them.
+//! Sends placement requests to the placement nodes, and answers those of peers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
-use beamwall_clock::running;
+use beamwall_clock::process_clock;
 use beamwall_config::GatewaySettings;
 use beamwall_engine_model::PrefillWork;
 use beamwall_events::emit;
@@ -17,24 +17,24 @@
 use beamwall_peer::{Body, Envelope, PeerNetwork};
 use tokio::time::Instant;
 
-use crate::gateway::beat;
-use crate::gateway::placers::{Asker, Placer, Placers};
+use crate::gateway::heartbeat_wire;
+use crate::gateway::placement_router::{LocalNode, PlacementRouter, PlacementTarget};
 use crate::shared::MembershipView;
 
-/// Longest wait for a placement: a small part of the tightest objective.
-const ANSWER_LIMIT: Duration = Duration::from_millis(30);
+/// Timeout for a placement: a small part of the tightest latency objective.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Asks the nodes that place model requests.
+/// Sends placement requests to the placement nodes.
 pub struct PeerPlacement {
     envelope: Envelope,
-    asker: Asker,
+    local: LocalNode,
     network: Arc<PeerNetwork>,
     members: Arc<ArcSwap<MembershipView>>,
-    placers: Mutex<Placers>,
+    router: Mutex<PlacementRouter>,
 }
 
 impl PeerPlacement {
-    /// Asks among `members` over `network`.
+    /// Selects placement nodes among `members` and sends requests over `network`.
     pub fn new(
         settings: &GatewaySettings,
         network: Arc<PeerNetwork>,
@@ -47,13 +47,16 @@
             link_mbps: settings.link_mbps,
             ..Envelope::default()
         };
-        let asker =
-            Asker { node: settings.node.clone(), zone: settings.zone.clone(), link_mbps: settings.link_mbps };
-        Self { envelope, asker, network, members, placers: Mutex::default() }
+        let local = LocalNode {
+            node: settings.node.clone(),
+            zone: settings.zone.clone(),
+            link_mbps: settings.link_mbps,
+        };
+        Self { envelope, local, network, members, router: Mutex::default() }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Placers> {
-        self.placers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PlacementRouter> {
+        self.router.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn note_miss(&self, node: &NodeId) {
@@ -67,21 +70,22 @@
 impl PlacementPort for PeerPlacement {
     async fn place(&self, question: &PlacementQuery) -> PlacementOutcome {
         let view = self.members.load_full();
-        let placer = self.lock().find(&self.asker, &view, question.group, Instant::now());
-        let Placer::Peer(placer) = placer else { return PlacementOutcome::PlaceLocally };
+        let target = self.lock().select_target(&self.local, &view, question.group, Instant::now());
+        let PlacementTarget::Peer(target) = target else { return PlacementOutcome::PlaceLocally };
         let body = Body::PlacementRequest(encode(question));
         let envelope = Envelope { body: Some(body), ..self.envelope.clone() };
-        let stood_still = running::stood_still();
-        match self.network.ask(placer.address, envelope, ANSWER_LIMIT).await.map(|answer| answer.body) {
+        let stall_time_before = process_clock::stall_time();
+        match self.network.ask(target.address, envelope, ANSWER_TIMEOUT).await.map(|answer| answer.body) {
             Ok(Some(Body::PlacementReply(reply))) if !reply.backend.is_empty() => {
-                self.lock().note_answer(&placer.node);
-                PlacementOutcome::Chosen(decode_reply(&reply, placer.node))
+                self.lock().note_answer(&target.node);
+                PlacementOutcome::Chosen(decode_reply(&reply, target.node))
             }
-            // It found no engine, as a node that has just started, or did not answer in time.
+            // The node found no engine, for instance because it has just started, or did not answer in time.
             Ok(_) | Err(_) => {
-                // Its answer may lie unread where this process did not run.
-                if running::stood_still() == stood_still {
-                    self.note_miss(&placer.node);
+                // If this process was stalled meanwhile, the answer may have arrived unread, so the node is
+                // not blamed.
+                if process_clock::stall_time() == stall_time_before {
+                    self.note_miss(&target.node);
                 }
                 PlacementOutcome::Unanswered
             }
@@ -103,11 +107,11 @@
         group: question.group.number,
         groups: question.group.count,
         enough_ms: question.enough_ms,
-        observed: beat::encode_slowness(question.observed.clone()),
+        observed: heartbeat_wire::encode_slowness(question.observed.clone()),
     }
 }
 
-/// The question of a peer.
+/// Decodes a placement request of a peer.
 pub(super) fn decode(request: PlacementRequest, envelope: &Envelope) -> PlacementQuery {
     let parts = request.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens }).collect();
     PlacementQuery {
@@ -121,18 +125,18 @@
         remaining: Duration::from_millis(request.remaining_ms),
         group: EngineGroup { number: request.group, count: request.groups.max(1) },
         enough_ms: request.enough_ms,
-        observed: beat::decode_slowness(&request.observed),
+        observed: heartbeat_wire::decode_slowness(&request.observed),
     }
 }
 
-/// The answer to a peer.
+/// Encodes the answer to a placement request.
 pub(super) fn encode_reply(choice: Option<Choice>) -> PlacementReply {
     let Some(choice) = choice else { return PlacementReply::default() };
     PlacementReply {
         backend: choice.backend.to_string(),
         cost_ms: choice.cost_ms,
-        unread_tokens: choice.reading.tokens,
-        unread_pairs: choice.reading.pairs,
+        unread_tokens: choice.prefill.tokens,
+        unread_pairs: choice.prefill.pairs,
         tokens_ahead: choice.tokens_ahead,
         expected_ms: choice.expected_ms,
         slowness: choice.slowness,
@@ -146,10 +150,10 @@
     Choice {
         backend: BackendId::new(&reply.backend),
         cost_ms: reply.cost_ms,
-        reading: PrefillWork { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
+        prefill: PrefillWork { tokens: reply.unread_tokens, pairs: reply.unread_pairs },
         tokens_ahead: reply.tokens_ahead,
         expected_ms: reply.expected_ms,
-        // Earlier builds tell none.
+        // Earlier builds do not send the slowness.
         slowness: if reply.slowness > 0.0 { reply.slowness } else { 1.0 },
         open_requests: reply.open_requests,
         failure_share: reply.failure_share,
--- a/crates/beamwall-node/src/gateway/rollout_wire.rs
+++ b/crates/beamwall-node/src/gateway/rollout_wire.rs
@@ -1,21 +1,21 @@
-//! Rollouts in the form of messages.
+//! Conversion of rollouts to and from messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use beamwall_model::{BackendId, EngineVersion, ServiceName, to_ms};
 use beamwall_peer::rollout_message::{
-    RolloutNews, ToldAnswers, ToldEvidence, ToldOrder, ToldOrderId, ToldStage,
+    AnswerCountsMessage, EvidenceMessage, OrderIdMessage, OrderMessage, RolloutUpdate, StageMessage,
 };
 use beamwall_rollout::{
     AnswerCounts, CountsByBackEnd, Evidence, OrderId, OrderUpdate, RolloutOrder, Stage, StageUpdate, Verdict,
 };
 
-fn encode_id(id: &OrderId) -> Option<ToldOrderId> {
-    Some(ToldOrderId { service: id.service.to_string(), target: id.target.to_string(), made: id.made })
+fn encode_id(id: &OrderId) -> Option<OrderIdMessage> {
+    Some(OrderIdMessage { service: id.service.to_string(), target: id.target.to_string(), made: id.made })
 }
 
-fn decode_id(id: Option<&ToldOrderId>) -> Option<OrderId> {
+fn decode_id(id: Option<&OrderIdMessage>) -> Option<OrderId> {
     let id = id?;
     Some(OrderId {
         service: ServiceName::new(&id.service),
@@ -40,46 +40,46 @@
     }
 }
 
-/// What is told of rollouts; `None` where there are none.
+/// Encodes the rollouts; `None` if there are none.
 pub fn encode(
     orders: Vec<OrderUpdate>,
     stages: Vec<StageUpdate>,
     evidence: Vec<(OrderId, Evidence)>,
-) -> Option<RolloutNews> {
-    (!orders.is_empty()).then(|| RolloutNews {
+) -> Option<RolloutUpdate> {
+    (!orders.is_empty()).then(|| RolloutUpdate {
         orders: orders.iter().map(encode_order).collect(),
         stages: stages.iter().map(encode_stage).collect(),
         evidence: evidence.iter().map(encode_evidence).collect(),
     })
 }
 
-fn encode_order(news: &OrderUpdate) -> ToldOrder {
-    ToldOrder {
-        id: encode_id(&news.order.id),
-        interval_ms: to_ms(news.order.interval),
-        revision: news.revision,
-        age_ms: to_ms(news.age),
-        verdict: encode_verdict(news.verdict),
-        is_withdrawn: news.is_withdrawn,
+fn encode_order(rollout_update: &OrderUpdate) -> OrderMessage {
+    OrderMessage {
+        id: encode_id(&rollout_update.order.id),
+        interval_ms: to_ms(rollout_update.order.interval),
+        revision: rollout_update.revision,
+        age_ms: to_ms(rollout_update.age),
+        verdict: encode_verdict(rollout_update.verdict),
+        is_withdrawn: rollout_update.is_withdrawn,
     }
 }
 
-fn encode_stage(news: &StageUpdate) -> ToldStage {
-    ToldStage {
-        id: encode_id(&news.order),
-        epoch: news.sequence.0,
-        number: news.sequence.1,
-        share: news.stage.share,
-        back_ends: news.stage.back_ends as u64,
-        takes_all_in_ms: news.stage.takes_all_in.map(to_ms),
-        age_ms: to_ms(news.age),
+fn encode_stage(rollout_update: &StageUpdate) -> StageMessage {
+    StageMessage {
+        id: encode_id(&rollout_update.order),
+        epoch: rollout_update.sequence.0,
+        number: rollout_update.sequence.1,
+        share: rollout_update.stage.share,
+        back_ends: rollout_update.stage.back_ends as u64,
+        takes_all_in_ms: rollout_update.stage.takes_all_in.map(to_ms),
+        age_ms: to_ms(rollout_update.age),
     }
 }
 
-fn encode_evidence((id, evidence): &(OrderId, Evidence)) -> ToldEvidence {
+fn encode_evidence((id, evidence): &(OrderId, Evidence)) -> EvidenceMessage {
     let mut answers = encode_sums_by_route(&evidence.old);
     answers.extend(encode_counts(&evidence.new));
-    ToldEvidence {
+    EvidenceMessage {
         id: encode_id(id),
         requests: evidence.requests,
         exposed: evidence.exposed,
@@ -88,8 +88,8 @@
     }
 }
 
-fn encode_counts(counts: &CountsByBackEnd) -> Vec<ToldAnswers> {
-    let row = |((route, back_end), counts): (&(String, BackendId), &AnswerCounts)| ToldAnswers {
+fn encode_counts(counts: &CountsByBackEnd) -> Vec<AnswerCountsMessage> {
+    let row = |((route, back_end), counts): (&(String, BackendId), &AnswerCounts)| AnswerCountsMessage {
         route: route.clone(),
         back_end: back_end.to_string(),
         answers: counts.answers,
@@ -98,13 +98,13 @@
     counts.iter().map(row).collect()
 }
 
-/// The sums that builds read which do not tell the old version's back ends apart.
-fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<ToldAnswers> {
+/// Sums by route for builds that do not distinguish the back ends of the old version.
+fn encode_sums_by_route(counts: &CountsByBackEnd) -> Vec<AnswerCountsMessage> {
     let mut sums: BTreeMap<&str, AnswerCounts> = BTreeMap::new();
     for ((route, _), counts) in counts {
         sums.entry(route).or_default().add(*counts);
     }
-    let row = |(route, sum): (&str, AnswerCounts)| ToldAnswers {
+    let row = |(route, sum): (&str, AnswerCounts)| AnswerCountsMessage {
         route: route.to_owned(),
         back_end: String::new(),
         answers: sum.answers,
@@ -113,60 +113,61 @@
     sums.into_iter().map(row).collect()
 }
 
-/// Orders as heard.
-pub fn decode_orders(news: &RolloutNews) -> Vec<OrderUpdate> {
-    let decode = |told: &ToldOrder| {
+/// Decodes orders.
+pub fn decode_orders(update: &RolloutUpdate) -> Vec<OrderUpdate> {
+    let decode = |wire_entry: &OrderMessage| {
         Some(OrderUpdate {
             order: RolloutOrder {
-                id: decode_id(told.id.as_ref())?,
-                interval: Duration::from_millis(told.interval_ms),
+                id: decode_id(wire_entry.id.as_ref())?,
+                interval: Duration::from_millis(wire_entry.interval_ms),
             },
-            revision: told.revision,
-            age: Duration::from_millis(told.age_ms),
-            verdict: decode_verdict(told.verdict),
-            is_withdrawn: told.is_withdrawn,
+            revision: wire_entry.revision,
+            age: Duration::from_millis(wire_entry.age_ms),
+            verdict: decode_verdict(wire_entry.verdict),
+            is_withdrawn: wire_entry.is_withdrawn,
         })
     };
-    news.orders.iter().filter_map(decode).collect()
+    update.orders.iter().filter_map(decode).collect()
 }
 
-/// Stages as heard.
-pub fn decode_stages(news: &RolloutNews) -> Vec<StageUpdate> {
-    let decode = |told: &ToldStage| {
+/// Decodes stages.
+pub fn decode_stages(update: &RolloutUpdate) -> Vec<StageUpdate> {
+    let decode = |wire_entry: &StageMessage| {
         Some(StageUpdate {
-            order: decode_id(told.id.as_ref())?,
-            sequence: (told.epoch, told.number),
+            order: decode_id(wire_entry.id.as_ref())?,
+            sequence: (wire_entry.epoch, wire_entry.number),
             stage: Stage {
-                share: told.share.clamp(0.0, 1.0),
-                back_ends: usize::try_from(told.back_ends).unwrap_or(usize::MAX),
-                takes_all_in: told.takes_all_in_ms.map(Duration::from_millis),
+                share: wire_entry.share.clamp(0.0, 1.0),
+                back_ends: usize::try_from(wire_entry.back_ends).unwrap_or(usize::MAX),
+                takes_all_in: wire_entry.takes_all_in_ms.map(Duration::from_millis),
             },
-            age: Duration::from_millis(told.age_ms),
+            age: Duration::from_millis(wire_entry.age_ms),
         })
     };
-    news.stages.iter().filter_map(decode).collect()
+    update.stages.iter().filter_map(decode).collect()
 }
 
-/// What others counted. Builds that do not tell the old version's back ends apart tell their sums: these stand as those of one
-/// back end without a name.
-pub fn decode_evidence(news: &RolloutNews) -> Vec<(OrderId, Evidence)> {
-    let decode = |told: &ToldEvidence| {
-        let (sums, of_new): (Vec<&ToldAnswers>, Vec<&ToldAnswers>) =
-            told.answers.iter().partition(|row| row.back_end.is_empty());
-        let of_old = if told.old_answers.is_empty() { sums } else { told.old_answers.iter().collect() };
+/// Decodes evidence. Builds that do not distinguish the back ends of the old version send sums by route,
+/// which are counted as one back end with an empty name.
+pub fn decode_evidence(update: &RolloutUpdate) -> Vec<(OrderId, Evidence)> {
+    let decode = |wire_entry: &EvidenceMessage| {
+        let (sums, of_new): (Vec<&AnswerCountsMessage>, Vec<&AnswerCountsMessage>) =
+            wire_entry.answers.iter().partition(|row| row.back_end.is_empty());
+        let of_old =
+            if wire_entry.old_answers.is_empty() { sums } else { wire_entry.old_answers.iter().collect() };
         let evidence = Evidence {
-            requests: told.requests,
-            exposed: told.exposed,
+            requests: wire_entry.requests,
+            exposed: wire_entry.exposed,
             old: decode_counts(of_old),
             new: decode_counts(of_new),
         };
-        Some((decode_id(told.id.as_ref())?, evidence))
+        Some((decode_id(wire_entry.id.as_ref())?, evidence))
     };
-    news.evidence.iter().filter_map(decode).collect()
+    update.evidence.iter().filter_map(decode).collect()
 }
 
-fn decode_counts(rows: Vec<&ToldAnswers>) -> CountsByBackEnd {
-    let decode = |row: &ToldAnswers| {
+fn decode_counts(rows: Vec<&AnswerCountsMessage>) -> CountsByBackEnd {
+    let decode = |row: &AnswerCountsMessage| {
         let counts = AnswerCounts { answers: row.answers, bad: row.bad };
         ((row.route.clone(), BackendId::new(&row.back_end)), counts)
     };
--- a/crates/beamwall-node/src/gateway/suspension.rs
+++ b/crates/beamwall-node/src/gateway/suspension.rs
@@ -1,7 +1,8 @@
-//! Notices that the machine was suspended: the clock that counts the time asleep has run ahead of the steady one.
+//! Detects suspensions of the machine: the clock that counts suspended time has run ahead of the monotonic
+//! one.
 //!
-//! What holds by a term looks at that clock by itself (`beamwall-clock`). Here the node tells of it, and tells its peers at once
-//! that it is back, so that they tell it what is new.
+//! Leases and timeouts take that clock into account on their own (`beamwall-clock`). This module logs the
+//! suspension, and sends a heartbeat at once so that peers report what changed meanwhile.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,29 +11,29 @@
 use beamwall_events::internal_events::MachineSuspended;
 use tokio::sync::Notify;
 
-/// A shorter suspension is within what terms allow anyway.
-const SHORTEST: Duration = Duration::from_millis(250);
+/// Shorter suspensions are within the tolerance of leases and timeouts.
+const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
-/// What was known of suspensions at the last look.
-pub struct Suspensions {
-    before: Duration,
-    news: Arc<Notify>,
+/// Suspended time of the machine at the last check.
+pub struct SuspensionMonitor {
+    suspended_before: Duration,
+    heartbeat_trigger: Arc<Notify>,
 }
 
-impl Suspensions {
-    /// Knows the suspensions until now; `news` is told after each further one.
-    pub fn new(news: Arc<Notify>) -> Self {
-        Self { before: beamwall_clock::asleep(), news }
+impl SuspensionMonitor {
+    /// Ignores suspensions up to now; `heartbeat_trigger` is notified after each later one.
+    pub fn new(heartbeat_trigger: Arc<Notify>) -> Self {
+        Self { suspended_before: beamwall_clock::suspended_time(), heartbeat_trigger }
     }
 
-    /// Looks whether the machine was suspended since the last look.
-    pub fn look(&mut self) {
-        let asleep = beamwall_clock::asleep();
-        let length = asleep.saturating_sub(self.before);
-        self.before = asleep;
-        if length >= SHORTEST {
+    /// Checks whether the machine was suspended since the last check.
+    pub fn detect_suspension(&mut self) {
+        let suspended = beamwall_clock::suspended_time();
+        let length = suspended.saturating_sub(self.suspended_before);
+        self.suspended_before = suspended;
+        if length >= MIN_SUSPENSION {
             emit(&MachineSuspended { asleep_ms: length.as_millis().to_string() });
-            self.news.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 }
