--- a/crates/beamwall-routing/src/admission.rs
+++ b/crates/beamwall-routing/src/admission.rs
@@ -1,9 +1,9 @@
-//! Admission: bounded waiting, ordered by class and then fairly by tenant.
+//! Admission: a bounded queue, ordered by service class and then by weighted fair queueing of tenants.
 //!
-//! A request that finds every engine full waits here. Among waiting requests the most urgent class
-//! goes first; within a class, tenants share by weight on tokens of work (start-time fair queueing).
-//! A request that cannot be served before its deadline is refused at once, with the time after
-//! which to come back.
+//! A request for which no engine has room waits here. The most urgent class is admitted first; within
+//! a class, tenants share capacity by weight, measured in tokens of work (start-time fair queueing).
+//! A request that is not expected to be served before its deadline is rejected at once, with a delay
+//! after which the caller may retry.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,22 +14,22 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Weight of the newest service time in the estimate.
+/// Weight of the newest sample in the smoothed interval between completions.
 const INTERVAL_SMOOTHING: f64 = 0.1;
-/// First estimate of the time between two ends of requests.
+/// Estimate of the interval between two completed requests before any was measured.
 const INITIAL_COMPLETION_INTERVAL: Duration = Duration::from_millis(50);
-/// Fixed point of virtual time.
+/// Units of virtual time for one token at weight 1 (fixed-point scale).
 const VIRTUAL_SCALE: u64 = 1_000;
 
 quick_error! {
-    /// Why a request is not admitted.
+    /// Why a request was not admitted.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AdmissionError {
         /// The queue is full.
         QueueFull(retry_after: Duration) {
             display("the waiting queue is full")
         }
-        /// The request would wait past its deadline.
+        /// The request is expected to wait beyond its deadline, or did.
         TooLate(retry_after: Duration) {
             display("the request cannot be served before its deadline")
         }
@@ -37,7 +37,7 @@
 }
 
 impl AdmissionError {
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub fn retry_after(&self) -> Duration {
         match self {
             Self::QueueFull(after) | Self::TooLate(after) => *after,
@@ -45,21 +45,22 @@
     }
 }
 
-/// A request that asks to be admitted.
+/// The properties of a request that decide on its admission.
 #[derive(Debug, Clone)]
 pub struct AdmissionRequest {
-    /// Tenant.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// Weight of the tenant.
+    /// Weight of the tenant in fair queueing.
     pub weight: u32,
-    /// Class.
+    /// Service class; the more urgent one is admitted first.
     pub class: ServiceClass,
-    /// Tokens of work.
+    /// Expected work in tokens.
     pub tokens: u32,
-    /// When the caller gives up.
+    /// Time until which the request may wait.
     pub deadline: Instant,
 }
 
+/// Position in the queue: class, virtual start time and arrival number.
 type QueueKey = (ServiceClass, u64, u64);
 
 #[derive(Debug)]
@@ -79,13 +80,13 @@
     last_completion: Option<Instant>,
 }
 
-/// The queue of one service at one node.
+/// Admission queue of one service at one node.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     state: Mutex<State>,
 }
 
-/// The right to have one request open; dropping it admits the next.
+/// Permits one open request. Dropping the permit admits the next waiting request.
 #[derive(Debug)]
 pub struct Permit {
     queue: Option<Arc<AdmissionQueue>>,
@@ -96,7 +97,7 @@
         Self { queue: Some(queue.clone()) }
     }
 
-    /// Gives the permit up without admitting the next request.
+    /// Drops the permit without releasing its slot, so that the next request is not admitted.
     fn disarm(mut self) {
         self.queue = None;
     }
@@ -111,7 +112,7 @@
 }
 
 impl AdmissionQueue {
-    /// A queue that admits `capacity` open requests.
+    /// Creates a queue that admits up to `capacity` open requests at a time.
     pub fn new(capacity: usize) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
@@ -131,19 +132,20 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how many requests may be open.
+    /// Sets how many requests may be open and admits waiting ones up to that number.
     pub fn set_capacity(self: &Arc<Self>, capacity: usize) {
         self.lock().capacity = capacity;
         self.admit_waiting();
     }
 
-    /// Requests that are open and that wait.
+    /// Numbers of open and of waiting requests.
     pub fn depth(&self) -> (usize, usize) {
         let state = self.lock();
         (state.open, state.waiting.len())
     }
 
-    /// Waits for admission.
+    /// Waits until the request is admitted. Fails at once if `max_waiting` requests wait already or the
+    /// expected wait exceeds the deadline; fails later if the deadline passes.
     pub async fn admit(
         self: &Arc<Self>,
         request: &AdmissionRequest,
@@ -204,7 +206,8 @@
         self.admit_waiting();
     }
 
-    /// Hands out permits. One whose receiver has gone goes to the next in the queue.
+    /// Admits waiting requests while there is capacity. If the receiver of a permit was dropped, the permit
+    /// goes to the next request.
     fn admit_waiting(self: &Arc<Self>) {
         loop {
             let waiter = {
@@ -247,7 +250,8 @@
 }
 
 impl State {
-    /// Charges a tenant's virtual time; returns the request's virtual start.
+    /// Advances the tenant's virtual finish time by the work of the request and returns the request's virtual
+    /// start time.
     fn charge(&mut self, request: &AdmissionRequest) -> u64 {
         let work = u64::from(request.tokens.max(1)) * VIRTUAL_SCALE / u64::from(request.weight.max(1));
         let finish = self.virtual_finish_by_tenant.get(&request.tenant).copied().unwrap_or(0);
@@ -266,7 +270,7 @@
         self.last_completion = Some(now);
     }
 
-    /// Expected wait of a request with `ahead` others before it.
+    /// Expected wait of a request that has `ahead` requests before it in the queue.
     fn expected_wait(&self, ahead: usize) -> Duration {
         self.completion_interval * u32::try_from(ahead + 1).unwrap_or(u32::MAX)
     }
--- a/crates/beamwall-routing/src/lib.rs
+++ b/crates/beamwall-routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Route choice, admission queues, tenant limits and retry budgets.
 //!
-//! Everything here works on snapshots and counters in memory: a request never waits for an actor
-//! or for the platform to be routed.
+//! All functions read in-memory snapshots and counters, so that routing a request never waits for an
+//! actor or for a platform service.
 
 pub mod admission;
 pub mod prefix;
--- a/crates/beamwall-routing/src/prefix.rs
+++ b/crates/beamwall-routing/src/prefix.rs
@@ -1,7 +1,7 @@
-//! What this node believes engines have cached, from its own dispatches.
+//! Estimate of the prompt prefixes that engines have cached, from the requests that this node sent.
 //!
-//! Engines publish cache events late and with gaps, so the belief is kept from what was sent where
-//! and corrected by the hit counts that engines report with each answer.
+//! Engines publish cache events late and with gaps. The estimate is therefore based on which prompt
+//! was sent to which engine, and is corrected by the cache hits that engines report in each response.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,11 +9,11 @@
 use beamwall_model::BackendId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Prompt bytes in one block of the belief.
+/// Prompt bytes in one block; prefixes are compared in whole blocks.
 const BLOCK_BYTES: usize = 1_024;
-/// Blocks of one prompt that are looked at.
+/// Leading blocks of a prompt that are hashed; the rest of a longer prompt is ignored.
 const BLOCKS_PER_PROMPT: usize = 64;
-/// Blocks remembered in all; the oldest half is dropped when full.
+/// Blocks in the index; when it is exceeded, the half that was used least recently is dropped.
 const BLOCK_LIMIT: usize = 65_536;
 
 #[derive(Debug, Default)]
@@ -22,13 +22,14 @@
     blocks: HashMap<u64, Vec<(BackendId, u64)>>,
 }
 
-/// The belief.
+/// Index of prompt blocks by the engines that are expected to have them cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     state: Mutex<State>,
 }
 
-/// The chained block hashes of a prompt.
+/// Returns the block hashes of a prompt. Each hash covers all blocks before it, so that equal hashes mean
+/// equal prefixes.
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
     let mut previous = 0;
     let chunks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).take(BLOCKS_PER_PROMPT);
@@ -45,7 +46,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Prompt bytes believed cached, by engine.
+    /// Estimated bytes of the prompt prefix that each engine has cached.
     pub fn cached_bytes(&self, blocks: &[u64]) -> HashMap<BackendId, usize> {
         let state = self.lock();
         let mut cached = HashMap::new();
@@ -60,7 +61,7 @@
         cached
     }
 
-    /// Notes that an engine computed a prompt.
+    /// Records that an engine computed a prompt.
     pub fn record_computed(&self, engine: &BackendId, blocks: &[u64]) {
         let mut state = self.lock();
         state.use_counter += 1;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Corrects the belief after an engine found only `cached_bytes` of a prompt.
+    /// Removes an engine from the blocks of a prompt beyond the `cached_bytes` that it reported as cached.
     pub fn correct(&self, engine: &BackendId, blocks: &[u64], cached_bytes: usize) {
         let mut state = self.lock();
         for block in &blocks[(cached_bytes / BLOCK_BYTES).min(blocks.len())..] {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that no longer exists.
     pub fn remove_engine(&self, engine: &BackendId) {
         let mut state = self.lock();
         for engines in state.blocks.values_mut() {
--- a/crates/beamwall-routing/src/route.rs
+++ b/crates/beamwall-routing/src/route.rs
@@ -1,8 +1,8 @@
-//! Route choice: which back end gets a request, and why.
+//! Route choice: selects the back end of a request and states the reason.
 //!
-//! The skew guard follows the reviewer's finding in `PAPER-dp-attention-add-prefix-7d3f.md`: it
-//! counts running and waiting requests, not resident tokens, so that a long session is not taken
-//! for load. docs/design/routing.md holds the measurement.
+//! The load skew limit compares running and waiting requests, not resident tokens, so that a long
+//! session does not count as load (finding of the reviewer in `PAPER-dp-attention-add-prefix-7d3f.md`). The
+//! measurement is in docs/design/routing.md.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -13,47 +13,47 @@
 use beamwall_model::{BackendId, ZoneName, rendezvous};
 use quick_error::quick_error;
 
-/// Assumed prefill rate of an engine that has not reported one, in tokens a second.
+/// Assumed prefill rate of an engine that has not reported one, in tokens per second.
 const ASSUMED_PREFILL_RATE: f64 = 4_000.0;
-/// Predicted time that each running or waiting request adds, in milliseconds.
+/// Time that each running or waiting request adds to the prediction, in milliseconds.
 const REQUEST_COST_MS: f64 = 0.5;
-/// Predicted time of crossing a zone, in milliseconds.
+/// Time that an engine in another zone adds to the prediction, in milliseconds.
 const ZONE_COST_MS: f64 = 2.0;
-/// Requests over the skew limit that are tolerated on an almost idle fleet.
+/// Requests added to the skew limit, so that session affinity holds while the fleet is almost idle.
 const SKEW_SLACK: f64 = 2.0;
 
 quick_error! {
-    /// Why no back end can take a request now.
+    /// Why no back end can take a request.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum NoRoute {
-        /// No back end of the service answers and stays.
+        /// Every back end of the service is down, leaving, excluded or without the required model.
         NoneAvailable {
             display("no back end of the service is available")
         }
-        /// Every back end has as many requests as allowed.
+        /// Every back end has reached its request limit.
         AllFull {
             display("every back end of the service is full")
         }
     }
 }
 
-/// Why a back end was chosen.
+/// Reason for the choice of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteReason {
-    /// The session's preferred engine.
+    /// It is the first engine in the session's rendezvous order.
     SessionAffinity,
-    /// The session's preferred engine was overloaded; the next in its order.
+    /// The session's first engine was full or above the skew limit; this is the next in its order.
     SessionSpill,
-    /// The lowest predicted time to the first token.
+    /// It has the lowest predicted time to the first token.
     LowestPredictedWait,
-    /// The fewest open requests, own zone first.
+    /// It has the fewest open requests; for plain services, this node's zone wins a tie.
     LeastOpenRequests,
-    /// The next in turn.
+    /// It is the next engine in round-robin order.
     RoundRobin,
 }
 
 impl RouteReason {
-    /// The word used in headers and in `explain`.
+    /// Name used in response headers and in the output of `explain`.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::SessionAffinity => "session-affinity",
@@ -71,36 +71,36 @@
     }
 }
 
-/// What to route.
+/// Inputs of a routing decision.
 pub struct RouteQuery<'a> {
-    /// The service asked for.
+    /// Requested service.
     pub service: &'a Service,
-    /// The caller's session key.
+    /// Session key sent by the caller.
     pub session: Option<&'a str>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
     /// This node's zone.
     pub zone: &'a ZoneName,
-    /// Number of the request at this node, for the round-robin baseline.
+    /// Sequence number of the request at this node, used by the round-robin policy.
     pub round_robin_index: usize,
-    /// Back ends that failed this request before.
+    /// Back ends that already failed this request.
     pub excluded: &'a [BackendId],
-    /// Prompt tokens believed cached at an engine.
+    /// Returns the estimated number of prompt tokens that an engine has cached.
     pub cached_tokens: &'a dyn Fn(&BackendId) -> u32,
 }
 
-/// The choice.
+/// The chosen back end.
 #[derive(Debug, Clone)]
 pub struct Route {
     /// The back end.
     pub backend: Arc<BackendView>,
-    /// Why.
+    /// Reason for the choice.
     pub reason: RouteReason,
     /// Predicted time to the first token, in milliseconds.
     pub predicted_ms: f64,
 }
 
-/// Candidates: back ends that accept work, without those excluded unless nothing else is left.
+/// Back ends that accept work. The excluded ones are left out unless no other accepts work.
 fn candidates<'a>(view: &'a FleetView, query: &RouteQuery<'_>) -> Vec<&'a Arc<BackendView>> {
     let backends = view.of_service(&query.service.name);
     let accepting: Vec<&Arc<BackendView>> =
@@ -113,8 +113,8 @@
     if not_excluded.is_empty() { accepting } else { not_excluded }
 }
 
-/// Whether an engine has the service's model and version loaded. An engine that reports no model
-/// has not been ordered yet and cannot serve.
+/// Whether an engine has the service's model and version loaded. An engine that reports no model has not
+/// received a load order yet and cannot serve.
 fn has_model(candidate: &BackendView, service: &Service) -> bool {
     candidate
         .report
@@ -134,7 +134,7 @@
     prefill + requests + zone
 }
 
-/// Chooses a model engine.
+/// Chooses a model engine by the routing policy of the service.
 pub fn choose_engine(view: &FleetView, query: &RouteQuery<'_>) -> Result<Route, NoRoute> {
     let all = candidates(view, query);
     let loaded: Vec<&Arc<BackendView>> =
@@ -168,7 +168,7 @@
     for_session.unwrap_or_else(|| (engine_with_lowest_wait(free, query), RouteReason::LowestPredictedWait))
 }
 
-/// The engine with the fewest requests; `free` is not empty.
+/// Returns the engine with the fewest requests. `free` must not be empty.
 fn engine_with_fewest_requests<'a>(free: &[&'a Arc<BackendView>]) -> &'a Arc<BackendView> {
     let mut best = free[0];
     for candidate in &free[1..] {
@@ -179,7 +179,7 @@
     best
 }
 
-/// Walks the session's rendezvous order and takes the first engine within the skew limit.
+/// Returns the first engine in the session's rendezvous order that is within the skew limit.
 fn choose_for_session<'a>(
     loaded: &[&'a Arc<BackendView>],
     free: &[&'a Arc<BackendView>],
@@ -199,6 +199,8 @@
     None
 }
 
+/// Returns the engine with the lowest predicted time to the first token; the smaller identifier wins a tie.
+/// `free` must not be empty.
 fn engine_with_lowest_wait<'a>(
     free: &[&'a Arc<BackendView>],
     query: &RouteQuery<'_>,
@@ -217,7 +219,8 @@
     best
 }
 
-/// Chooses a back end of a plain service: fewest open requests, own zone first on a tie.
+/// Chooses a back end of a plain service: the one with the fewest open requests of this node. This node's
+/// zone wins a tie.
 pub fn choose_backend(view: &FleetView, query: &RouteQuery<'_>) -> Result<Route, NoRoute> {
     let backends = view.of_service(&query.service.name);
     let mut best: Option<(u32, bool, &Arc<BackendView>)> = None;
--- a/crates/beamwall-routing/src/tenant_limit.rs
+++ b/crates/beamwall-routing/src/tenant_limit.rs
@@ -1,9 +1,9 @@
-//! Tenant limits that hold over all nodes.
+//! Tenant limits that apply to the sum over all nodes.
 //!
-//! Each node has a share of a tenant's limit, in proportion to the demand that it reported. A node
-//! lowers its share at once and raises it only after the others have had time to lower theirs, so
-//! that the sum stays within the limit while nodes are connected. In a cut, each side keeps the
-//! last share.
+//! Each node enforces a share of a tenant's limit, in proportion to the demand that it reported. A node
+//! lowers its share at once, but raises it only after the other nodes have had time to lower theirs, so
+//! that the sum of the shares stays within the limit while the nodes are connected. During a network
+//! partition each side keeps the last shares.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,39 +14,43 @@
 use quick_error::quick_error;
 use tokio::time::Instant;
 
-/// Work that may be done at once after a quiet time, in seconds of the share.
+/// Size of a full bucket: the work that may be admitted at once after an idle period, in seconds of the
+/// node's rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Time after which a larger share is taken: longer than a heartbeat takes to reach everyone.
+/// Delay before a node uses a larger share: longer than a heartbeat takes to reach all nodes, which lower
+/// their shares when they receive it.
 const RAISE_DELAY: Duration = Duration::from_millis(1_500);
-/// Demand that every node is counted with, so that an idle one can start, as a part of the limit.
+/// Demand added to that of every node, as a fraction of the limit, so that an idle node has a share to start
+/// with.
 const IDLE_DEMAND_FRACTION: f64 = 0.02;
-/// Weight of the newest second in the demand.
+/// Weight of the newest reporting period in the smoothed demand.
 const DEMAND_SMOOTHING: f64 = 0.5;
 
 quick_error! {
-    /// The tenant is over its limit.
+    /// The tenant exceeded a limit.
     #[derive(Debug, Clone, PartialEq)]
     pub enum LimitExceeded {
-        /// Over a rate; `retry_after` tells when the work would fit.
+        /// A rate limit; after `retry_after` the work would be admitted.
         Rate(retry_after: Duration) {
             display("tenant rate limit exceeded")
         }
-        /// Too many open requests.
+        /// The limit of open requests.
         Concurrency(limit: usize) {
             display("tenant has {} open requests", limit)
         }
     }
 }
 
-/// The two kinds of limited work.
+/// Work that is charged to a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// Tokens of prompt and answer.
+    /// Tokens of prompt and response.
     Tokens(u32),
-    /// One plain call.
+    /// One call to a plain service.
     Call,
 }
 
+/// Token bucket of one limit, refilled at this node's share of the rate.
 #[derive(Debug)]
 struct RateBucket {
     limit: f64,
@@ -88,7 +92,8 @@
         self.requested += amount;
         self.refill(now);
         let rate = (self.limit * self.share).max(f64::MIN_POSITIVE);
-        // Work larger than a whole burst could never pass; it passes when the bucket is full.
+        // Work larger than a full bucket would never be admitted; it is admitted when the bucket is full and
+        // leaves the bucket negative.
         let needed = amount.min(rate * BURST_SECONDS);
         if self.available + 1e-9 >= needed {
             self.available -= amount;
@@ -123,12 +128,12 @@
     open: usize,
 }
 
-/// Demand of one tenant at one node, a second.
+/// Demand of one tenant at one node, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// Tokens asked for.
+    /// Tokens requested, whether admitted or not.
     pub tokens: f64,
-    /// Plain calls asked for.
+    /// Plain calls requested, whether admitted or not.
     pub calls: f64,
 }
 
@@ -140,7 +145,7 @@
 }
 
 impl State {
-    /// Demands of all other nodes; those that reported none count as idle.
+    /// Demands of all other nodes; a node that reported none counts as idle.
     fn peer_demands(&self, tenant: &TenantName) -> Vec<Demand> {
         let mut others = self.peers.get(tenant).cloned().unwrap_or_default();
         others.resize(self.peer_count.max(others.len()), Demand::default());
@@ -148,7 +153,7 @@
     }
 }
 
-/// The accounts of all tenants at this node.
+/// Rate and concurrency limits of all tenants at this node.
 #[derive(Debug, Default)]
 pub struct TenantLimits {
     state: Mutex<State>,
@@ -159,8 +164,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes work from a tenant's account and opens a request. A tenant seen for the first time
-    /// gets the share of an idle node, which the others already leave to this one.
+    /// Charges work to a tenant's limits and opens a request. For a tenant that is new to this node the
+    /// share is that of an idle node, which the shares of the other nodes already leave free.
     pub fn open(&self, tenant: &Tenant, work: Work) -> Result<(), LimitExceeded> {
         let now = Instant::now();
         let mut state = self.lock();
@@ -182,14 +187,14 @@
         Ok(())
     }
 
-    /// Closes a request.
+    /// Closes a request of a tenant.
     pub fn close(&self, tenant: &TenantName) {
         if let Some(account) = self.lock().accounts.get_mut(tenant) {
             account.open = account.open.saturating_sub(1);
         }
     }
 
-    /// Ends a reporting period and gives this node's demands.
+    /// Ends a reporting period and returns the smoothed demand of each tenant at this node.
     pub fn close_period(&self, period: Duration) -> Vec<(TenantName, Demand)> {
         let mut state = self.lock();
         let demand = |account: &mut Account| Demand {
@@ -199,8 +204,8 @@
         state.accounts.iter_mut().map(|(tenant, account)| (tenant.clone(), demand(account))).collect()
     }
 
-    /// Sets shares from the demands that all nodes reported. `own` must be what this node last
-    /// reported, so that every node computes from the same numbers.
+    /// Computes this node's shares from the demands that all nodes reported. `own` must be the demand that
+    /// this node last reported, so that every node computes with the same numbers.
     pub fn set_shares(
         &self,
         own: &HashMap<TenantName, Demand>,
@@ -223,7 +228,7 @@
         }
     }
 
-    /// This node's shares of a tenant's token and call limits.
+    /// This node's shares of a tenant's token and call limits, from 0 to 1.
     pub fn shares(&self, tenant: &TenantName) -> Option<(f64, f64)> {
         self.lock().accounts.get(tenant).map(|account| (account.tokens.share, account.calls.share))
     }
@@ -246,7 +251,7 @@
     (share(own.tokens, &token_demands, token_limit), share(own.calls, &call_demands, call_limit))
 }
 
-/// A node's part of a limit. The parts of all nodes sum to one.
+/// Share of a limit for a node with demand `own`. The shares of all nodes sum to 1.
 pub fn share(own: f64, others: &[f64], limit: f64) -> f64 {
     let floor = limit * IDLE_DEMAND_FRACTION;
     let counted = |demand: f64| demand.max(0.0) + floor;
--- a/crates/beamwall-routing/tests/admission.rs
+++ b/crates/beamwall-routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: urgent classes first, tenants by weight, bounded, and no wait past the deadline.
+//! Tests of the admission queue: class order, tenant weights, queue limit, deadlines and cancelled waiters.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
     }
 }
 
-/// Queues requests while the only slot is taken, then serves them one by one; gives the order.
+/// Queues all requests while the only slot is taken, then releases it; returns the order of admission.
 async fn admission_order(
     queue: &Arc<AdmissionQueue>,
     requests: Vec<(String, AdmissionRequest)>,
@@ -66,7 +66,8 @@
 async fn tenants_share_by_weight_on_tokens_of_work() {
     let queue = AdmissionQueue::new(1);
     let mut requests = Vec::new();
-    // Heavy asks for four times the work of each light request, and has twice the weight.
+    // A request of `heavy` has four times the work of a `light` one; the weight of `heavy` is twice that of
+    // `light`.
     for _ in 0..40 {
         requests.push(("heavy".to_owned(), request("heavy", 2, ServiceClass::Standard, 400)));
         for _ in 0..4 {
--- a/crates/beamwall-routing/tests/tenant_limits.rs
+++ b/crates/beamwall-routing/tests/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! The shares of all nodes sum to at most the tenant's limit, whatever demands they report.
+//! Tests of tenant limits: the shares of all nodes sum to at most the limit for any reported demands.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     let mut reported: Vec<HashMap<TenantName, Demand>> = vec![HashMap::new(); 6];
     for _ in 0..seconds {
         for (number, node) in nodes.iter().enumerate() {
-            // Uneven: the first node is asked for far more than the others.
+            // The first node receives far more requests than the others.
             let requested = if number == 0 { 2_000 } else { 50 };
             admitted += (0..requested).filter(|_| node.open(&alder, Work::Call).is_ok()).count() as u64;
         }
@@ -80,7 +80,8 @@
             node.set_shares(&reported[own], peers, 5);
         }
     }
-    // One burst of a second at start, then the rate. The sleep is at least what was asked for.
+    // The bound is a burst of one second at the start plus the rate times the elapsed time; the factor 1.5
+    // allows for sleeps that take longer than requested.
     let elapsed = 1.0 + 0.3 * f64::from(seconds) * 1.5;
     assert!(admitted as f64 <= limit as f64 * elapsed, "{admitted} admitted, limit {limit} a second");
     assert!(admitted >= limit / 2, "only {admitted} admitted");
